--- a/src/admission/admission_context.cpp
+++ b/src/admission/admission_context.cpp
@@ -14,7 +14,8 @@
   const auto& classes = deployment.requestClasses;
   shortestClass = &*std::ranges::min_element(classes, {}, &RequestClass::nominalCost);
   double maxCores = 1;
-  for (const MachineType& machine : deployment.machineTypes) maxCores = std::max(maxCores, machine.cores);
+  for (const MachineType& machineType : deployment.machineTypes)
+    maxCores = std::max(maxCores, machineType.cores);
   hasFractionalShares = maxCores * kTargetThreadsPerCore * kLimitToTargetRatio / deployment.controllerCount <
                         std::ranges::max_element(classes, {}, &RequestClass::threads)->threads;
 }
--- a/src/admission/admission_context.hpp
+++ b/src/admission/admission_context.hpp
@@ -11,31 +11,31 @@
 
 namespace paddletrack {
 
-/// Running threads per core that an engine should have: the design's starting value.
+/// Target number of running threads per core of an engine, before the adaptive limit is applied.
 extern const double kTargetThreadsPerCore;
 
-/// Thread limits of the classes relative to the concurrency target. They exceed it, because above the target
-/// requests still start, with a falling probability.
+/// Ratio of an engine's thread limit to its concurrency target. It exceeds 1 because requests still start
+/// above the target, with decreasing probability.
 extern const double kLimitToTargetRatio;
 
-/// What the parts of one AdmissionController share: the deployment, the time of the current event, the
-/// engines, the attempts in flight, and the only source of random numbers.
+/// The state shared by the parts of one AdmissionController: the deployment, the time of the current event,
+/// the engines, the attempts in flight, and the only random number generator.
 struct AdmissionContext {
-  /// `description` has to outlive the context.
+  /// `description` must outlive the context.
   AdmissionContext(const Deployment& description, std::uint64_t seed, Duration startTime);
 
-  /// Sets the time of the event that is being handled. A call far later than the scheduled timer shows that
-  /// this process was stalled. Its attempts may have been answered meanwhile, so the time of the stall is
-  /// counted as unobserved and is no evidence against an engine.
+  /// Sets the time of the current event. An event far later than the scheduled timer shows that this process
+  /// was stalled. Responses may have arrived during the stall, so its duration is added to the unobserved
+  /// time of the attempts in flight and is not held against their engines.
   void advanceClock(Duration time);
 
-  /// The next random number, uniform in [0, 1].
+  /// Returns the next random number, uniform in [0, 1].
   double drawUniform();
 
-  /// Seconds since the attempt was sent, as far as this controller observed them.
+  /// Returns the seconds since the attempt was sent, not counting stalls of this controller.
   double observedAge(const Attempt& attempt) const { return attempt.observedAge(now); }
 
-  /// True while the engine's process is within the warm-up time after its start.
+  /// Returns true if the engine's process was started less than the warm-up time ago.
   bool isWarmingUp(const Engine& engine) const {
     return engine.endpoint.startedAt && now - *engine.endpoint.startedAt < deployment.warmupTime;
   }
@@ -45,20 +45,21 @@
   }
   Duration shortestObjective() const { return shortestClass->latencyObjective; }
 
-  /// False where shares are fractional: each controller then has less than a request in flight on most
-  /// engines, so the reports say little, and their cost grows with the square of the number of controllers.
+  /// Returns true if the controllers exchange peer reports. With fractional shares they do not: each
+  /// controller has less than one request in flight on most engines, so the reports carry little information,
+  /// and their cost grows with the square of the number of controllers.
   bool usesPeerReports() const { return deployment.allowsPeerReports && !hasFractionalShares; }
 
   const Deployment& deployment;
-  Duration now;                                 ///< The time of the event that is being handled.
+  Duration now;                                 ///< The time of the current event.
   Duration startedAt = now;                     ///< When this controller started.
   const RequestClass* shortestClass = nullptr;  ///< The class with the lowest nominal cost.
-  bool hasFractionalShares = false;  ///< One controller's share of an engine is below the widest request.
-  std::vector<Engine*> engines;      ///< In this controller's own random order, larger ones rather first.
+  bool hasFractionalShares = false;             ///< A share of an engine is below the widest request.
+  std::vector<Engine*> engines;  ///< In this controller's random order, which favors large engines.
   std::vector<Attempt*> inFlightAttempts;
-  std::optional<Duration> nextTimerAt;   ///< When the scheduled timer is due.
-  std::optional<Duration> stallEndedAt;  ///< When the latest stall of this process was noticed.
-  Duration stallDuration{0};             ///< How long that stall was.
+  std::optional<Duration> nextTimerAt;   ///< Due time of the scheduled timer.
+  std::optional<Duration> stallEndedAt;  ///< Time at which the latest stall was detected.
+  Duration stallDuration{0};             ///< Duration of the latest stall.
 
  private:
   std::minstd_rand random_;
--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -9,7 +9,7 @@
 using enum AttemptOutcome;
 
 constexpr double kMaxQueueTimeRatio = 1.0 / 20;  // Of the request timeout.
-constexpr int kSelectionsPerObjective = 40;      // How often a queued request looks for an engine.
+constexpr int kSelectionsPerObjective = 40;  // Selection rounds of a queued request per latency objective.
 
 AdmissionController::AdmissionController(AdmissionHost& host, const Deployment& deployment,
                                          std::uint64_t seed, Duration now)
@@ -41,7 +41,7 @@
   if (mayStillExecute(outcome)) ordering_.hold(request, now + context_.deployment.orderingHold);
   if (requestFinished && !request.finished) finishRequest(request);
   if (!request.finished) retryOrReject(request);
-  leaveOrder(request);
+  releaseOrderingKey(request);
   runPeriodicWork();
 }
 
@@ -55,7 +55,7 @@
 void AdmissionController::onClientGone(Duration now, Request& request) {
   context_.advanceClock(now);
   if (!request.finished) finishRequest(request);
-  leaveOrder(request);
+  releaseOrderingKey(request);
   runPeriodicWork();
 }
 
@@ -63,7 +63,7 @@
   context_.advanceClock(now);
   if (kind == ProgressKind::progress && value > attempt.progress) {
     attempt.progress = value;
-    health_.onSignOfLife(*attempt.engine);
+    health_.recordLiveness(*attempt.engine);
   }
   runPeriodicWork();
 }
@@ -87,7 +87,7 @@
   for (Engine* engine : context_.engines) engine->available = engine->available && !isSnapshot;
   for (const auto& [engine, endpoint] : records) {
     registerEngine(*engine, endpoint);
-    if (endpoint.startedAt && endpoint.startedAt != engine->endpoint.startedAt) engine->forgetProcess();
+    if (endpoint.startedAt && endpoint.startedAt != engine->endpoint.startedAt) engine->resetProcessState();
     engine->endpoint = endpoint;
     engine->available = endpoint.state == EndpointState::ready;
     health_.updateEffectiveCores(*engine);
@@ -141,7 +141,7 @@
   queue_.enqueue(request, std::max(context_.now + std::max(tick, Duration{1}), latest));
 }
 
-void AdmissionController::leaveOrder(Request& request) {
+void AdmissionController::releaseOrderingKey(Request& request) {
   if (!request.finished || request.inFlightCount() > 0) return;
   Request* next = ordering_.remove(request);
   if (next && next->queued) queueUntil(*next, ordering_.heldUntil(request));
@@ -184,8 +184,8 @@
   auto attempt = std::make_unique<Attempt>(request, engine, context_.now);
   attempt->timesOutAt = stragglers_.attemptTimeout(request);
   const double memoryGrantMb = costs_.memoryGrantMb(request, engine);
-  const bool grantIsNeed = !deployment.allowsMemoryOvercommit && memoryGrantMb > 0;
-  attempt->memoryMb = grantIsNeed ? memoryGrantMb : costs_.estimateMemoryMb(request);
+  const bool countsGrantAsUsed = !deployment.allowsMemoryOvercommit && memoryGrantMb > 0;
+  attempt->memoryMb = countsGrantAsUsed ? memoryGrantMb : costs_.estimateMemoryMb(request);
   load_.onAttemptStarted(*attempt);
   rules_.onAttemptStarted(request, engine);
   health_.onAttemptStarted(engine);
@@ -215,10 +215,10 @@
   if (request.inFlightCount() > 0 || request.queued) return;
   const double age = toSeconds(context_.now - request.arrivedAt);
   const bool isLate = age > request.latencyObjectiveSeconds() && request.requestClass->lateWeight <= 0;
-  const bool hasEngine = std::ranges::any_of(context_.engines, [&](const Engine* engine) {
+  const bool hasAllowedEngine = std::ranges::any_of(context_.engines, [&](const Engine* engine) {
     return rules_.isRetrySafe(request, *engine) && rules_.isPlacementAllowed(request, *engine);
   });
-  if (isLate || !hasEngine || !rules_.canAttempt(request) ||
+  if (isLate || !hasAllowedEngine || !rules_.canAttempt(request) ||
       context_.now + context_.deployment.tickDuration >= request.deadline)
     return rejectOrFail(request);
   request.queueDeadline = queueDeadline(request);
@@ -238,7 +238,7 @@
   const bool rejectionSafe = rules_.isRejectionSafe(request, retryAfter);
   finishRequest(request);
   rejectionSafe ? host_.reject(request, retryAfter) : host_.fail(request);
-  leaveOrder(request);
+  releaseOrderingKey(request);
 }
 
 void AdmissionController::finishRequest(Request& request) {
--- a/src/admission/admission_controller.hpp
+++ b/src/admission/admission_controller.hpp
@@ -23,17 +23,17 @@
 
 namespace paddletrack {
 
-/// Decides about every request of one controller: whether it starts, on which engine, whether it is retried,
-/// rejected or failed. It is told of the events in their order, each with its time, and answers through its
-/// AdmissionHost before the call returns. It does no I/O, reads no clock, and is not thread-safe. It only
-/// wires the parts of the module: each concern has a class of its own.
+/// Makes the decisions about all requests of one controller: whether a request starts, on which engine, and
+/// whether it is retried, rejected or failed. It receives events in chronological order, each with its time,
+/// and acts through its AdmissionHost before the call returns. It does no I/O, reads no clock, and is not
+/// thread-safe. It only connects the parts of the module; each concern is implemented by a class of its own.
 ///
-/// Requests and engines belong to the caller. A request has to stay valid until it is finished and has no
-/// attempt in flight; an engine until it is forgotten, which is allowed once it is removed from the endpoint
-/// list and no valid request has an attempt on it.
+/// Requests and engines are owned by the caller. A request must stay valid until it is finished and has no
+/// attempt in flight, and an engine until forgetEngine() is called, which is allowed once the engine is
+/// removed from the endpoint list and no valid request has an attempt on it.
 class AdmissionController {
  public:
-  /// `host` and `deployment` have to outlive the controller. The same seed and events give the same
+  /// `host` and `deployment` must outlive the controller. The same seed and events lead to the same
   /// decisions.
   AdmissionController(AdmissionHost& host, const Deployment& deployment, std::uint64_t seed, Duration now);
   AdmissionController(const AdmissionController&) = delete;
@@ -42,18 +42,18 @@
   /// A request has arrived.
   void onRequest(Duration now, Request& request);
 
-  /// An attempt has finished. `requestFinished` is true if its response was the final answer of the request.
-  /// `actualCost` and `loadReport` are what the engine reported with it; `loadReport` may be null.
+  /// An attempt has finished. `requestFinished` is true if its response was the final response to the
+  /// request. `actualCost` and `loadReport` were reported by the engine with it; `loadReport` may be null.
   void onAttemptFinished(Duration now, Attempt& attempt, AttemptOutcome outcome, bool requestFinished,
                          std::optional<ActualCost> actualCost, const LoadReport* loadReport);
 
-  /// The first part of a response has been passed on to the client: the request cannot be retried any more.
+  /// The first part of a response has been forwarded to the client: the request can no longer be retried.
   void onResponseStarted(Duration now, Attempt& attempt);
 
   /// The client of the request has disconnected.
   void onClientGone(Duration now, Request& request);
 
-  /// The engine has sent a progress note; `value` is the part of the work that is done.
+  /// The engine has sent a progress notification; `value` is the completed share of the work.
   void onProgress(Duration now, Attempt& attempt, ProgressKind kind, double value);
 
   /// A health check has been answered or has failed; `loadReport` may be null.
@@ -62,47 +62,52 @@
   /// Another controller has reported its load per engine.
   void onPeerReport(Duration now, unsigned peerIndex, const PeerReport& report);
 
-  /// The endpoint list has changed. A snapshot names all engines; those that it leaves out are unavailable.
+  /// The endpoint list has changed. A snapshot contains all engines; those missing from it become
+  /// unavailable.
   void onEndpointUpdate(Duration now, bool isSnapshot, const EndpointRecords& records);
 
-  /// Drops the engine, which may then be destroyed.
+  /// Removes the engine, which may then be destroyed.
   void forgetEngine(Engine& engine) { std::erase(context_.engines, &engine); }
 
-  /// The endpoint list could not be read; it is asked for again soon.
+  /// The endpoint list could not be read. It is requested again soon.
   void onDiscoveryFailed(Duration now);
 
   /// The scheduled timer is due.
   void onTimer(Duration now);
 
-  /// Gives each of the requests its final answer, before the capacity that this frees can start another one.
+  /// Rejects or fails all of the requests that are not finished, before any queued request can start on the
+  /// capacity that this frees.
   void rejectAll(Duration now, const std::vector<Request*>& requests);
 
-  /// Reports the candidates of each selection to AdmissionHost::traceDecision.
+  /// Enables or disables the reporting of each selection's candidates to AdmissionHost::traceDecision.
   void enableDecisionTrace(bool enabled) { selector_.enableDecisionTrace(enabled); }
 
  private:
   // Starts, queues or rejects the request.
   void admitRequest(Request& request);
-  // Queues the request until `until`, but no longer than it can still be answered, and at least a tick, so
-  // that it is not selected again at the same time.
+  // Queues the request until `until`, but at most until shortly before its deadline, and for at least a tick,
+  // so that its next selection round is not at the same time.
   void queueUntil(Request& request, Duration until);
-  // Lets the next request of the key proceed once this one is finished and has no attempt in flight.
-  void leaveOrder(Request& request);
-  // True if the request fits its class's limits on some engine, or was found to do so earlier.
+  // Lets the next request of the ordering key proceed once this request is finished and has no attempt in
+  // flight.
+  void releaseOrderingKey(Request& request);
+  // Returns true if the request fits the limits of its class on some engine. The check is made only in the
+  // first selection round of the request; later rounds and retries return true.
   bool fitsAnyEngine(Request& request);
-  // False if the request can neither start nor wait.
+  // Returns false if the request can neither start nor be queued.
   bool startOrQueue(Request& request);
   void startAttempt(Request& request, Engine& engine);
 
   void recordOutcome(Attempt& attempt, AttemptOutcome outcome, const std::optional<ActualCost>& actualCost);
   void retryOrReject(Request& request);
-  // The final answer is sent at once, with the time after which the client may retry where that is safe.
-  // Attempts that have not been sent yet are recalled first: they are then proven not executed.
+  // Finishes the request at once: rejects it with a Retry-After if a retry by the client is safe, otherwise
+  // fails it. Attempts that have not been sent yet are recalled first, because a recalled attempt is proven
+  // not executed.
   void rejectOrFail(Request& request);
   void finishRequest(Request& request);
   Duration queueDeadline(const Request& request) const;
 
-  // Adds an engine that is new to this controller, at a random position: larger ones rather first.
+  // Adds an engine that is new to this controller at a random position; large engines tend to come first.
   void registerEngine(Engine& engine, const EndpointRecord& endpoint);
   void runPeriodicWork();
   void updateStatistics();
--- a/src/admission/admission_host.hpp
+++ b/src/admission/admission_host.hpp
@@ -10,62 +10,63 @@
 
 namespace paddletrack {
 
-/// An engine that was considered for a request. The engine with the lowest randomized score is selected.
+/// An engine considered for a request. The candidate with the lowest randomized score is selected.
 struct Candidate {
   Engine* engine = nullptr;
-  double score = 0;             ///< Without the random factor of 1 to 1.1.
+  double score = 0;             ///< Without the random factor between 1 and 1.1.
   double randomizedScore = 0;   ///< With the random factor.
-  double utilization = 0;       ///< Share of the engine's concurrency target in use, with this request.
-  double startProbability = 0;  ///< Probability that the request starts there at once if it is selected.
+  double utilization = 0;       ///< Used share of the concurrency target, including this request.
+  double startProbability = 0;  ///< Probability of an immediate start if the engine is selected.
 };
 
-/// Engines with their records in the endpoint list. The engines belong to the caller.
+/// Engines with their records in the endpoint list. The engines are owned by the caller.
 using EndpointRecords = std::vector<std::pair<Engine*, EndpointRecord>>;
 
-/// The actions that an AdmissionController can take. Each call acts at once and never calls back into the
+/// The actions of an AdmissionController. Each call acts immediately and must not call back into the
 /// controller.
 class AdmissionHost {
  public:
   virtual ~AdmissionHost() = default;
 
-  /// Sends the attempt to its engine. The attempt belongs to its request.
+  /// Sends the attempt to its engine. The attempt is owned by its request.
   virtual void sendAttempt(Attempt& attempt) = 0;
 
-  /// Sets the memory grant (0: the engine decides) and the priority that the request's next attempt asks for.
+  /// Sets the memory grant in MB (0: the engine decides) and the priority to request with the next attempt.
   virtual void assignResources(Request& request, double memoryGrantMb, int priority) = 0;
 
   /// Rejects the request; the client may retry after `retryAfter`.
   virtual void reject(Request& request, Duration retryAfter) = 0;
 
-  /// Fails the request; the client must not retry, because the request may have been executed.
+  /// Fails the request. The client must not retry it, because it may have been executed.
   virtual void fail(Request& request) = 0;
 
-  /// Asks the attempt's engine to stop it. The attempt still finishes with an outcome.
+  /// Asks the engine to cancel the attempt. The attempt still finishes with an outcome.
   virtual void cancel(Attempt& attempt) = 0;
 
-  /// Stops an attempt that has not been sent yet, and returns true if nothing of it was sent. It then
-  /// finishes as `neverSent`. Returns false if some of it may have been sent.
+  /// Recalls an attempt that has not been sent yet. Returns true if nothing of it was sent; it then finishes
+  /// as `neverSent`. Returns false if a part of it may have been sent.
   virtual bool recall(Attempt& /*attempt*/) { return false; }
 
-  /// Asks for a call of AdmissionController::onTimer at the given time. A later call replaces an earlier one.
+  /// Schedules a call of AdmissionController::onTimer at `time`. A later call replaces an earlier one.
   virtual void scheduleTimer(Duration time) = 0;
 
-  /// Asks the engine for a load report.
+  /// Sends a health check to the engine, whose answer may contain a load report.
   virtual void sendHealthCheck(Engine& engine) = 0;
 
   /// Sends this controller's load per engine to all other controllers.
   virtual void sendPeerReport(const PeerReport& report) = 0;
 
-  /// Asks for the endpoint list.
+  /// Requests the endpoint list.
   virtual void requestEndpoints() = 0;
 
   virtual void log(std::string_view message) = 0;
 
-  /// A factor on the engine's score for the request: below 1 the engine is preferred (docs/rebalance.md).
+  /// Returns the placement bias, a factor on the engine's score for the request: an engine with a factor
+  /// below 1 is preferred (docs/rebalance.md).
   virtual double placementBias(const Request& /*request*/, const Engine& /*engine*/) { return 1; }
 
-  /// Called at each selection that found an engine, before the request starts or waits, while the decision
-  /// trace is enabled.
+  /// Called while the decision trace is enabled, after each selection that found an engine and before the
+  /// request starts or is queued.
   virtual void traceDecision(const Request& /*request*/, const std::vector<Candidate>& /*candidates*/) {}
 };
 
--- a/src/admission/admission_rules.cpp
+++ b/src/admission/admission_rules.cpp
@@ -7,7 +7,7 @@
 
 namespace paddletrack {
 constexpr double kWarmupSafetyFactor = 0.5;  // Of the warm-up budget: speeds and costs are only estimates.
-constexpr double kMinWarmupRequests = 8;     // A share is rounded at random if the engine can hold so many.
+constexpr double kMinWarmupRequests = 8;     // A share is rounded at random if a window holds this many.
 
 bool AdmissionRules::isAttemptAllowed(const Request& request, Engine& engine) {
   return canAttempt(request) && isRetrySafe(request, engine) && isPlacementAllowed(request, engine) &&
@@ -42,10 +42,10 @@
 bool AdmissionRules::isRejectionSafe(const Request& request, Duration retryAfter) const {
   const RequestClass& requestClass = *request.requestClass;
   if (requestClass.idempotency == Idempotency::idempotent) return true;
-  const bool safeByKey = requestClass.idempotency == Idempotency::idempotentByKey &&
-                         requestClass.retryScope == RetryScope::anyEngine;
+  const bool isSafeByKey = requestClass.idempotency == Idempotency::idempotentByKey &&
+                           requestClass.retryScope == RetryScope::anyEngine;
   return std::ranges::all_of(request.attempts, [&](const auto& attempt) {
-    return attempt->provenNotExecuted || (safeByKey && isWithinIdempotencyWindow(*attempt, retryAfter));
+    return attempt->provenNotExecuted || (isSafeByKey && isWithinIdempotencyWindow(*attempt, retryAfter));
   });
 }
 
--- a/src/admission/admission_rules.hpp
+++ b/src/admission/admission_rules.hpp
@@ -8,7 +8,7 @@
 
 namespace paddletrack {
 
-/// The rules that every attempt has to keep, in one place.
+/// The rules that every attempt must comply with.
 class AdmissionRules {
  public:
   AdmissionRules(const AdmissionContext& context, const CostEstimator& costs, LoadEstimator& load,
@@ -20,48 +20,51 @@
         arrivals_(context.deployment.retryBudgetWindow / 8),
         retries_(context.deployment.retryBudgetWindow / 7 + Duration{1}) {}
 
-  /// Counts an arriving request for the retry budget.
+  /// Adds an arriving request to the retry budget.
   void onRequest() {
     if (context_.deployment.retryBudgetWindow > Duration{0}) arrivals_.add(context_.now, 1);
   }
 
-  /// Counts the attempt, which is about to be added to the request, for the warm-up and retry budgets.
+  /// Charges an attempt that is about to be added to the request to the warm-up and retry budgets.
   void onAttemptStarted(const Request& request, Engine& engine) {
     engine.warmupWorkSent.add(context_.now, costs_.warmupCost(request));
     if (!request.attempts.empty()) retries_.add(context_.now, 1);
   }
 
-  /// True if all rules allow an attempt for the request on the engine now.
+  /// Returns true if the rules allow an attempt for the request on the engine now. The order of requests
+  /// (rule 5) is checked by isNextInOrder().
   bool isAttemptAllowed(const Request& request, Engine& engine);
 
-  /// Rule 1: no attempt after the final answer, the start of the response or the deadline, and no more than
-  /// the maximum of attempts.
+  /// Rule 1: no attempt starts after the request is finished, its response has started or its deadline has
+  /// passed, nor beyond the maximum number of attempts.
   bool canAttempt(const Request& request) const;
 
-  /// Rule 2: a request that may have been executed is attempted again only where its class allows it.
+  /// Rule 2: a request that may have been executed is retried only on engines where its class allows it.
   bool isRetrySafe(const Request& request, const Engine& engine) const;
 
-  /// Rule 2, for the client: it may be told to retry only where that is safe. It does so `retryAfter` from
-  /// now, which has to be within the idempotency window as well.
+  /// Rule 2, applied to the client: the request may be rejected with a Retry-After only if a retry by the
+  /// client is safe. That retry comes `retryAfter` from now, which must be within the idempotency window as
+  /// well.
   bool isRejectionSafe(const Request& request, Duration retryAfter) const;
 
-  /// Rule 4: the work sent to an engine that is warming up keeps to this controller's share of what all
-  /// together may send within any window, with the engine's capacity taken as at its start. A share that is
-  /// smaller than a request is rounded at random, with one draw per request, so that a request gains nothing
-  /// by waiting, and only for requests so small that the sum stays close to its expectation.
+  /// Rule 4: the work sent to an engine that is warming up within any window stays within this controller's
+  /// share of the warm-up budget of all controllers, computed from the engine's initial capacity. A share
+  /// smaller than a request is rounded at random: with one random draw per request, so that a request does
+  /// not improve its chances by waiting, and only for requests small enough that the sum over all controllers
+  /// stays close to its expected value.
   bool isWithinWarmupBudget(const Request& request, Engine& engine);
 
-  /// Rule 5: requests of one key are executed one at a time, in the order of their arrival; after an attempt
-  /// that may still be executed though nobody observes it, the key is held back.
+  /// Rule 5: ordered requests of one key are executed one at a time, in the order of their arrival. After an
+  /// attempt that may still be executing unobserved, the key is under an ordering hold.
   bool isNextInOrder(const Request& request) const;
 
   /// Rules 3 and 6: the engine is listed as ready, and its zone and machine type are allowed for the class.
   bool isPlacementAllowed(const Request& request, const Engine& engine) const;
 
-  /// Rule 7: retries keep to a budget.
+  /// Rule 7: retries stay within the retry budget.
   bool isWithinRetryBudget(const Request& request);
 
-  /// Retries left of `budgetRatio` of the retry budget.
+  /// Returns the number of retries left if only `budgetRatio` of the retry budget may be used.
   double remainingRetryBudget(double budgetRatio);
 
  private:
--- a/src/admission/class_limits.cpp
+++ b/src/admission/class_limits.cpp
@@ -5,11 +5,11 @@
 #include "model/time_conversion.hpp"
 
 namespace paddletrack {
-constexpr double kTotalClassFloorRatio = 0.3;     // Of a limit: all floors together.
-constexpr double kDataLoadCeiling = 0.5;          // Of a limit: a data load has no floor and at most this.
-constexpr double kCostTokenHorizonRatio = 0.6;    // Of the longest mean latency objective.
-constexpr double kSmallRequestMemoryRatio = 1.5;  // Of the memory: grants with those that need little.
-constexpr double kMaxMemoryUtilization = 0.85;    // Of the memory: grants beyond it wait or page.
+constexpr double kTotalClassFloorRatio = 0.3;   // Of a limit: all class floors together.
+constexpr double kDataLoadCeiling = 0.5;        // Of a limit: the ceiling of data loads, which have no floor.
+constexpr double kCostTokenHorizonRatio = 0.6;  // Of the longest mean latency objective.
+constexpr double kSmallRequestMemoryRatio = 1.5;  // Of the memory: limit for requests that need little.
+constexpr double kMaxMemoryUtilization = 0.85;    // Of the memory: grants above it wait or cause paging.
 
 void ClassLimits::computeClassFloors() {
   double weightSum = 0;
@@ -54,7 +54,7 @@
   return std::min(request.admissionThreads, std::max<double>(request.threads(), sharedThreads));
 }
 
-bool ClassLimits::mayStartAlone(const Request& request, Engine& engine, const InFlightLoad& othersLoad) {
+bool ClassLimits::canStartAlone(const Request& request, Engine& engine, const InFlightLoad& othersLoad) {
   if (engine.inFlightByClass[request.requestClass->index].threads > 0) return false;
   const double threads = engine.threadsInFlight + othersLoad.threads + admissionThreads(request, engine);
   return othersLoad.threads <= 0 || threads <= health_.concurrencyTarget(engine);
@@ -67,7 +67,7 @@
   const double tokenLimit = limit / kTargetThreadsPerCore * costTokenHorizon_;
   const double tokenFloor = classFloors_[request.requestClass->index] * tokenLimit;
   const bool fitsTokenFloor = ownLoad.threads <= 0 || ownLoad.costTokens + request.costTokens <= tokenFloor;
-  return ((fitsTokenFloor && fitsClassFloor(request, engine)) || mayStartAlone(request, engine, othersLoad) ||
+  return ((fitsTokenFloor && fitsClassFloor(request, engine)) || canStartAlone(request, engine, othersLoad) ||
           fitsSharedRemainder(request, engine, limit, tokenLimit)) &&
          fitsMemory(request, engine, othersLoad);
 }
--- a/src/admission/class_limits.hpp
+++ b/src/admission/class_limits.hpp
@@ -9,11 +9,12 @@
 
 namespace paddletrack {
 
-/// The limits of the admission classes on each engine: each class has a floor, may borrow from the shared
-/// remainder up to its ceiling, in threads and in cost tokens, and has to fit into the engine's memory.
+/// The limits of the admission classes on each engine. In threads and in cost tokens, each class has a floor
+/// and may borrow from the shared remainder up to its ceiling. A request must also fit into the engine's
+/// memory.
 class ClassLimits {
  public:
-  /// Floors are inversely proportional to the nominal cost of a class; data loads have none.
+  /// The floor of a class is inversely proportional to its nominal cost. Data loads have no floor.
   ClassLimits(const AdmissionContext& context, const CostEstimator& costs, EngineHealth& health,
               const LoadEstimator& load)
       : context_(context),
@@ -24,47 +25,50 @@
     computeClassFloors();
   }
 
-  /// True if the request fits the limits of its class on the engine.
+  /// Returns true if the request fits the limits of its class on the engine.
   bool fitsClassLimits(const Request& request, Engine& engine);
 
-  /// True if the request fits the threads of its class's floor on the engine.
+  /// Returns true if the request fits into the threads of its class floor on the engine.
   bool fitsClassFloor(const Request& request, Engine& engine);
 
-  /// Share of the engine's concurrency target in use with `addedThreads` more.
+  /// Returns the used share of the engine's concurrency target, with `addedThreads` added to its load.
   double utilization(double addedThreads, Engine& engine);
 
-  /// Threads that the request counts for when it is admitted to the engine: no more than the part of the
-  /// target outside the floors, so that an engine that is nearly idle accepts any request.
+  /// Returns the threads that the request counts for at its admission to the engine: at most the part of the
+  /// target outside the class floors (but at least its real threads), so that a nearly idle engine accepts
+  /// any request.
   double admissionThreads(const Request& request, const Engine& engine) const;
 
-  /// Updates the cost tokens per thread from the mean costs.
+  /// Updates the cost tokens allowed per thread from the mean costs of the classes.
   void updateCostTokenHorizon();
 
  private:
   void computeClassFloors();
-  // The fair share of the engine's limit, or all that the others leave of it: a busy controller among idle
-  // ones exceeds its share.
+  // The larger of this controller's fair share of the engine's limit and the part of it that the other
+  // controllers do not use: a busy controller among idle ones exceeds its share.
   double threadLimit(Engine& engine, const InFlightLoad& othersLoad);
-  // The floor of the shortest class holds at least one request, however small the share, but not on an engine
-  // that is reported full, nor, without reports, beyond this controller's part of all targets.
+  // The floor of the shortest class admits at least one request, however small the share. This does not apply
+  // on an engine that is reported full, nor, without load reports, beyond this controller's share of all
+  // targets.
   bool isShortestClassLimited(const Engine& engine, const InFlightLoad& othersLoad) const;
-  // A class with nothing in flight here may start one request below the target: else a share below a wide
-  // request, or a budget below an expensive one, would exclude the class for good.
-  bool mayStartAlone(const Request& request, Engine& engine, const InFlightLoad& othersLoad);
-  // What the classes use beyond their floors is borrowed from the shared remainder.
+  // A class with nothing in flight on the engine may start one request below the target. Otherwise a share
+  // smaller than a wide request, or a token budget smaller than a costly one, would exclude the class
+  // permanently.
+  bool canStartAlone(const Request& request, Engine& engine, const InFlightLoad& othersLoad);
+  // Usage of the classes beyond their floors is borrowed from the shared remainder.
   bool fitsSharedRemainder(const Request& request, const Engine& engine, double threadLimit,
                            double tokenLimit) const;
-  // Grants beyond the memory make the engine page or its queue wait. A request that needs less than half of
-  // its threads' part of the memory does not crowd it; an engine far beyond its memory gets no request at
-  // all.
+  // Memory grants that exceed the memory make the engine page or its requests wait for grants. A request that
+  // needs at most half of its threads' share of the memory is still admitted moderately above the memory
+  // limit; an engine far above it gets no request at all.
   bool fitsMemory(const Request& request, const Engine& engine, const InFlightLoad& others) const;
 
   const AdmissionContext& context_;
   const CostEstimator& costs_;
   EngineHealth& health_;
   const LoadEstimator& load_;
-  std::vector<double> classFloors_;  // As a part of the engine's thread limit.
-  double costTokenHorizon_ = 0;      // Seconds of work that each thread may have ahead.
+  std::vector<double> classFloors_;  // Ratio to the engine's thread limit.
+  double costTokenHorizon_ = 0;      // Seconds of work allowed in flight per thread.
 };
 
 }  // namespace paddletrack
--- a/src/admission/engine_health.cpp
+++ b/src/admission/engine_health.cpp
@@ -10,10 +10,10 @@
 using enum AttemptOutcome;
 
 constexpr double kLimitDecreaseFactor = 0.9, kLimitIncreaseStep = 0.05, kMinLimitFactor = 0.3;
-constexpr double kEjectionFailureRatio = 0.3;   // Of recent outcomes: an engine that fails more is ejected.
-constexpr double kMaxRejectionsPerSuccess = 4;  // An engine that rejects more is ejected.
-constexpr int kTrialObjectives = 2;             // Latency objectives between trials of an ejected engine.
-constexpr double kSlowEngineRatio = 1.5;  // Slowdown against the typical one that costs an engine cores.
+constexpr double kEjectionFailureRatio = 0.3;   // Share of recent outcomes; an engine above it is ejected.
+constexpr double kMaxRejectionsPerSuccess = 4;  // An engine above it is ejected.
+constexpr int kTrialIntervalObjectives = 2;     // Trial interval in latency objectives.
+constexpr double kSlowEngineRatio = 1.5;        // To the typical slowdown; an engine above it loses cores.
 
 bool EngineHealth::concernsEngine(const Attempt& attempt, AttemptOutcome outcome) const {
   if (outcome == cancelled || outcome == neverSent || outcome == connectionAborted) return false;
@@ -26,13 +26,13 @@
   Engine& engine = *attempt.engine;
   if (outcome == timedOut) {
     const bool timedOutEarly = attempt.timesOutAt < attempt.request->deadline;
-    const bool maybeLost = timedOutEarly || lacksExpectedProgress(attempt);
-    if (maybeLost && engine.lastAliveAt && *engine.lastAliveAt > attempt.sentAt) return false;
+    const bool isPossiblyLost = timedOutEarly || lacksExpectedProgress(attempt);
+    if (isPossiblyLost && engine.lastAliveAt && *engine.lastAliveAt > attempt.sentAt) return false;
     if (timedOutEarly) engine.failures.add(context_.now, 1);
     if (timedOutEarly || context_.observedAge(attempt) < attempt.estimatedSeconds()) return false;
   }
   adjustConcurrencyLimit(attempt, outcome);
-  if (outcome == completed) onSignOfLife(engine);
+  if (outcome == completed) recordLiveness(engine);
   SlidingWindowSum<double>& failures = outcome == rejected ? engine.rejections : engine.failures;
   (outcome == completed ? engine.successes : failures).add(context_.now, 1);
   return true;
@@ -56,7 +56,9 @@
   }
 }
 
-Duration EngineHealth::trialInterval() const { return context_.shortestObjective() * kTrialObjectives; }
+Duration EngineHealth::trialInterval() const {
+  return context_.shortestObjective() * kTrialIntervalObjectives;
+}
 
 bool EngineHealth::isEjected(Engine& engine) const {
   const double failures = engine.failures.sum(context_.now);
@@ -65,9 +67,9 @@
   bool unhealthy =
       failsOften || engine.rejections.sum(context_.now) > kMaxRejectionsPerSuccess * (successes + 1);
   for (const Attempt* attempt : engine.inFlightAttempts) {
-    const bool noSignOfLife = !engine.lastAliveAt || *engine.lastAliveAt < attempt->sentAt;
+    const bool isSilent = !engine.lastAliveAt || *engine.lastAliveAt < attempt->sentAt;
     const bool overdue = context_.observedAge(*attempt) > attempt->request->latencyObjectiveSeconds();
-    unhealthy = unhealthy || (noSignOfLife && overdue);
+    unhealthy = unhealthy || (isSilent && overdue);
   }
   if (unhealthy && !engine.nextTrialAt) engine.nextTrialAt = context_.now + trialInterval();
   return engine.nextTrialAt.has_value();
--- a/src/admission/engine_selector.cpp
+++ b/src/admission/engine_selector.cpp
@@ -6,10 +6,10 @@
 #include "model/time_conversion.hpp"
 
 namespace paddletrack {
-constexpr double kJitter = 0.1;  // Of a score, at random.
-// On an engine without the data set in its cache; that has failed the request; among the other kind of half.
-constexpr double kUncachedPenalty = 1.25, kRepeatPenalty = 2, kOtherHalfPenalty = 2;
-constexpr double kCrossZonePenaltyFactor = 10;  // Times the price of crossing: of the room left elsewhere.
+constexpr double kJitter = 0.1;  // Maximum random increase of a score, relative to it.
+// For an engine that has not cached the data set; that had an attempt of the request; in the other half.
+constexpr double kUncachedPenalty = 1.25, kRepeatPenalty = 2, kNonPreferredHalfPenalty = 2;
+constexpr double kCrossZonePenaltyFactor = 10;  // Share of the headroom per unit of cross-zone cost.
 
 Engine* EngineSelector::selectEngine(const Request& request) {
   candidates_.clear();
@@ -19,14 +19,14 @@
 
 EngineSelector::Selection EngineSelector::selectAmong(const Request& request, bool selectEjected) {
   Selection best;
-  double remainingLooks = load_.subsetSize();
+  double remainingEngines = load_.subsetSize();
   for (Engine* engine : context_.engines) {
-    if (remainingLooks <= 0 && !context_.isWarmingUp(*engine)) continue;
+    if (remainingEngines <= 0 && !context_.isWarmingUp(*engine)) continue;
     const bool trialDue = health_.isTrialDue(*engine, request);
     const bool excluded = health_.isEjected(*engine) && !trialDue;
     if (excluded != selectEjected || !rules_.isAttemptAllowed(request, *engine)) continue;
     best.hasCandidates = true;
-    --remainingLooks;
+    --remainingEngines;
     const Attempt* previous = request.lastAttemptOn(*engine);
     if ((previous && previous->inFlight) || !limits_.fitsClassLimits(request, *engine)) continue;
     const double jitter = 1 + kJitter * context_.drawUniform();
@@ -53,15 +53,16 @@
     utilization += std::max(0.0, headroom) * crossZonePenalty;
   const double loadScore = utilization * (isCached ? 1 : kUncachedPenalty) *
                            (isRepeated ? kRepeatPenalty : 1) * jitter * host_.placementBias(request, engine) *
-                           (isInOtherHalf(request, engine) ? kOtherHalfPenalty : 1);
+                           (isInNonPreferredHalf(request, engine) ? kNonPreferredHalfPenalty : 1);
   return loadScore * (1 + engine.rejections.sum(context_.now) / (engine.successes.sum(context_.now) + 1));
 }
 
-bool EngineSelector::isInOtherHalf(const Request& request, const Engine& engine) const {
+bool EngineSelector::isInNonPreferredHalf(const Request& request, const Engine& engine) const {
   const RequestClass& requestClass = *request.requestClass;
-  const bool isConcerned = requestClass.isDataLoad || requestClass.waitsForDataLoads;
+  const bool isPlacedByHalf = requestClass.isDataLoad || requestClass.waitsForDataLoads;
   const std::uint32_t hash = (engine.number ^ (request.dataSet * 2654435761U)) * 2654435769U;
-  return context_.deployment.loadsBlockReaders && isConcerned && (hash >> 31 != 0) != requestClass.isDataLoad;
+  return context_.deployment.loadsBlockReaders && isPlacedByHalf &&
+         (hash >> 31 != 0) != requestClass.isDataLoad;
 }
 
 bool EngineSelector::cannotMeetDeadline(const Request& request, double loadFactor) const {
--- a/src/admission/load_estimator.cpp
+++ b/src/admission/load_estimator.cpp
@@ -6,9 +6,9 @@
 #include "model/time_conversion.hpp"
 
 namespace paddletrack {
-constexpr int kMaxReportAgeObjectives = 2;      // Latency objectives that a load report is fresh for.
-constexpr double kOthersLoadDecayMultiple = 3;  // Decay time of an old mean, in mean residency times.
-constexpr double kMinSubsetSize = 3;            // Engines that a controller chooses among at least.
+constexpr int kMaxReportAgeObjectives = 2;      // Maximum age of a fresh load report in latency objectives.
+constexpr double kOthersLoadDecayMultiple = 3;  // Decay time of a stale fleet mean in mean residency times.
+constexpr double kMinSubsetSize = 3;            // Minimum number of engines that a controller considers.
 
 LoadEstimator::LoadEstimator(AdmissionContext& context)
     : context_(context),
@@ -43,16 +43,16 @@
 
 void LoadEstimator::applyLoadReport(Engine& engine, const LoadReport& report) {
   if ((!report.requestsInFlight && !report.cpuUtilization) || context_.usesPeerReports()) return;
-  const Engine::SentLoad own = engine.loadSentBy(context_.now - context_.shortestObjective());
+  const Engine::SentLoad ownLoad = engine.loadSentBy(context_.now - context_.shortestObjective());
   const auto& [cores, memoryMb] = context_.machineType(engine);
   const double busyRatio = std::max(report.cpuUtilization.value_or(0), report.diskUtilization.value_or(0));
   const double threads =
       report.requestsInFlight
-          ? residency_.threadsOf(std::max(0.0, *report.requestsInFlight - own.attemptCount))
-          : std::max(0.0, busyRatio * cores * kTargetThreadsPerCore - own.threads);
+          ? residency_.meanThreads(std::max(0.0, *report.requestsInFlight - ownLoad.attemptCount))
+          : std::max(0.0, busyRatio * cores * kTargetThreadsPerCore - ownLoad.threads);
   const double othersMemoryMb = report.memoryGrantedRatio
-                                    ? std::max(0.0, *report.memoryGrantedRatio * memoryMb - own.memoryMb)
-                                    : residency_.memoryMbOf(threads);
+                                    ? std::max(0.0, *report.memoryGrantedRatio * memoryMb - ownLoad.memoryMb)
+                                    : residency_.meanMemoryMb(threads);
   const Duration delay = context_.now == context_.stallEndedAt ? context_.stallDuration : Duration{0};
   engine.setOthersLoad(threads, othersMemoryMb, context_.now - delay);
 }
--- a/src/admission/load_estimator.hpp
+++ b/src/admission/load_estimator.hpp
@@ -8,62 +8,65 @@
 
 namespace paddletrack {
 
-/// Tracks this controller's load and estimates the load of the other controllers, from load reports, from the
-/// reports of peers or, without either, from its own load.
+/// Tracks this controller's load, and estimates the load of the other controllers from load reports, from
+/// peer reports or, without either, from its own load.
 class LoadEstimator {
  public:
   explicit LoadEstimator(AdmissionContext& context);
 
-  /// Adds the attempt to the load of its engine and class. Without load reports the mean of the others is no
-  /// less than this controller's own load, so that no burst is admitted after a stall.
+  /// Adds the attempt to the load of its engine and class. Without load reports, the mean load of the other
+  /// controllers is assumed to be at least this controller's own, so that no burst is admitted after a stall.
   void onAttemptStarted(Attempt& attempt);
 
-  /// Takes the attempt off the load of its engine and class.
+  /// Subtracts the attempt from the load of its engine and class.
   void onAttemptReleased(Attempt& attempt);
 
-  /// Updates the residency statistics from a completed attempt that took `threadSeconds`.
+  /// Updates the residency statistics from a completed attempt that occupied its threads for `threadSeconds`.
   void onAttemptCompleted(const Attempt& attempt, double threadSeconds) {
     residency_.add(attempt, threadSeconds);
   }
 
-  /// An engine that rejected an attempt, or did not answer it in time, counts as full until it reports again.
+  /// Treats an engine that rejected an attempt or did not answer it in time as full until its next load
+  /// report.
   void onEngineOverloaded(Engine& engine);
 
-  /// Counts a request that asks for an engine: a new one, or one that is retried.
+  /// Counts a request that needs an engine, either a new request or a retry.
   void onSelectionRound() { selectionRounds_.add(context_.now, 1); }
 
-  /// The number of requests that asked for an engine within the latest window.
+  /// Returns the number of requests that needed an engine within the latest window.
   double recentSelectionRounds() { return selectionRounds_.sum(context_.now); }
 
-  /// How many engines this controller considers. With fractional shares it keeps to a subset of the fleet,
-  /// the first in its random order, as many as the requests it gets within a latency objective, so that its
-  /// knowledge of these stays fresh.
+  /// Returns the number of engines that this controller considers. With fractional shares it uses a subset of
+  /// the fleet, the first engines in its random order, about as many as the requests that it gets within a
+  /// latency objective, so that its information about them stays fresh.
   double subsetSize();
 
-  /// Takes over the engine's load report. The report is some time old: attempts that were sent since are not
-  /// in it and must not be subtracted from it as this controller's own. An engine whose cores or disks are
-  /// busy all the time is taken to be at its concurrency target. A report that is read at the end of a stall
-  /// may have waited for as long as the stall was.
+  /// Applies a load report of the engine. The report has some age: attempts sent more recently are not
+  /// included in it and must not be subtracted from it as this controller's own load. An engine whose cores
+  /// or disks are busy all the time is assumed to be at its concurrency target. A report read at the end of a
+  /// stall may be as old as the stall was long.
   void applyLoadReport(Engine& engine, const LoadReport& report);
 
-  /// Takes over the report of another controller. What a controller reported too long ago has finished since.
+  /// Applies the peer report of another controller. Peer reports that are too old are ignored, because the
+  /// reported load has finished since.
   void applyPeerReport(unsigned peerIndex, const PeerReport& report);
 
-  /// Load of the other controllers on the engine. A report fades into the mean of the fleet at the rate at
-  /// which the reported work finishes: an engine seen idle is soon taken to be as full as any, and one seen
-  /// full stays so for long, but is not avoided for good because nobody looks again.
-  /// An engine that is warming up has no such mean: its rule limits already what all controllers send to it.
+  /// Returns the estimated load of the other controllers on the engine. The reported load decays to the mean
+  /// of the fleet at the rate at which the reported work finishes: an engine reported idle is soon assumed to
+  /// have the mean load, and one reported full is assumed to stay full for longer, but is not avoided
+  /// permanently for lack of new reports. For an engine that is warming up the mean is 0, because the warm-up
+  /// rule already limits the work that all controllers send to it.
   InFlightLoad othersInFlight(const Engine& engine) const;
 
-  /// Updates the means over the fleet. Without fresh reports the old mean fades, because a controller that
-  /// sheds load by an old report gets no new one; without any reports the other controllers are taken to have
-  /// the load that this one had on average.
+  /// Updates the means over the fleet. Without fresh reports the old means decay, because a controller that
+  /// rejects requests on the basis of an old report gets no new one. If there have never been reports, the
+  /// other controllers are assumed to have this controller's mean load.
   void updateFleetMeans();
 
-  /// How long a load report counts as fresh.
+  /// Returns the maximum age of a fresh load report.
   Duration maxReportAge() const;
 
-  /// True if the engines report their load when they are checked.
+  /// Returns true if the engines answer health checks with load reports.
   bool reportsOnHealthChecks() const {
     return context_.deployment.reportsLoadOnHealthCheck && context_.deployment.allowsHealthChecks;
   }
@@ -78,12 +81,12 @@
     threadsInFlight_ += threads;
     if (attempt.request->requestClass == context_.shortestClass) shortestClassThreads_ += threads;
   }
-  // Threads per core of the others on the fleet if each has `ownThreads`.
+  // Threads per core of the other controllers over the fleet if each has `ownThreads` in flight.
   double estimateOthersShare(double ownThreads) const;
 
   AdmissionContext& context_;
-  bool hasLoadReports_ = reportsOnHealthChecks();          // Or peers say what the others have in flight.
-  double threadsInFlight_ = 0, shortestClassThreads_ = 0;  // This controller's own, on all engines.
+  bool hasLoadReports_ = reportsOnHealthChecks();          // Load or peer reports are available.
+  double threadsInFlight_ = 0, shortestClassThreads_ = 0;  // Of this controller, on all engines.
   double totalCores_ = 0;                                  // Of the available engines.
   double othersThreadsPerCore_ = 0, othersMemoryRatio_ = 0;
   ResidencyStatistics residency_;
--- a/src/admission/load_exchange.cpp
+++ b/src/admission/load_exchange.cpp
@@ -19,9 +19,9 @@
   const auto isRecent = [&](const std::optional<Duration>& time) {
     return time && context_.now - *time < maxAge;
   };
-  double remainingLooks = load_.subsetSize();
+  double remainingEngines = load_.subsetSize();
   for (Engine* engine : context_.engines) {
-    if (--remainingLooks < 0) return;
+    if (--remainingEngines < 0) return;
     if (2 * healthChecks_.sum(context_.now) >= load_.recentSelectionRounds()) return;
     const bool isFresh = isRecent(engine->othersUpdatedAt) || isRecent(engine->healthCheckSentAt);
     if (!engine->available || isFresh) continue;
--- a/src/admission/load_exchange.hpp
+++ b/src/admission/load_exchange.hpp
@@ -9,7 +9,7 @@
 
 namespace paddletrack {
 
-/// Asks engines for load reports, and reports this controller's load to its peers.
+/// Requests load reports from engines, and reports this controller's load to its peers.
 class LoadExchange {
  public:
   LoadExchange(const AdmissionContext& context, AdmissionHost& host, LoadEstimator& load)
@@ -20,9 +20,9 @@
 
  private:
   void sendPeerReport();
-  // Where only health checks bring load reports, checks the engines whose report is old (more rarely with
-  // fractional shares), one for two requests at most. Each controller thus has fresh reports of other
-  /// engines than the next one: where all saw the same idle engine, all went there until the next check.
+  // Sends health checks to the engines whose load report is stale (less often with fractional shares), at
+  // most one per two requests. Each controller thus has fresh reports of different engines: when all
+  // controllers saw the same idle engine, all sent their requests to it until the next check.
   void checkStaleEngines();
 
   const AdmissionContext& context_;
--- a/src/admission/straggler_policy.cpp
+++ b/src/admission/straggler_policy.cpp
@@ -7,13 +7,13 @@
 namespace paddletrack {
 using enum AttemptOutcome;
 
-constexpr double kStragglerMultiple = 3;        // Of the expected time: the engine's plan must be bad.
-constexpr double kMaxHedgeRatio = 0.05;         // Of recent attempts.
-constexpr double kMinLostResponses = 4;         // Within 28 latency objectives: responses get lost.
-constexpr double kEarlyRetryBudgetRatio = 0.9;  // Of the retry budget: for retries after an early timeout.
+constexpr double kStragglerMultiple = 3;  // Of the expected time: beyond it, the query plan must be bad.
+constexpr double kMaxHedgeRatio = 0.05;   // Of recent attempts.
+constexpr double kMinLostResponses = 4;   // Within 28 latency objectives: responses get lost.
+constexpr double kEarlyRetryBudgetRatio = 0.9;  // Of the retry budget: for retries after early timeouts.
 constexpr double kEarlyTimeoutMultiple = 2,
-                 kMinEarlyTimeoutRatio = 0.6;    // Of the mean latency; the objective.
-constexpr double kLateTimeoutProbability = 0.2;  // Of no early timeout.
+                 kMinEarlyTimeoutRatio = 0.6;    // Of the mean latency; of the objective.
+constexpr double kLateTimeoutProbability = 0.2;  // Of keeping the full timeout.
 
 void StragglerPolicy::initialize() {
   shortestLatencyRatio_ = 0.25;
@@ -63,11 +63,11 @@
     const bool isOverdue = elapsed >= kStragglerMultiple * expected && remaining >= 2 * expected;
     return isSlow || isOverdue ? StragglerAction::cancel : StragglerAction::none;
   }
-  const bool mayHedge = context_.deployment.allowsHedging && &requestClass == context_.shortestClass &&
+  const bool canHedge = context_.deployment.allowsHedging && &requestClass == context_.shortestClass &&
                         request.inFlightCount() == 1 && isLate &&
                         elapsed > request.latencyObjectiveSeconds() / 2 &&
                         hedges_.sum(context_.now) < kMaxHedgeRatio * attemptsStarted_.sum(context_.now);
-  return mayHedge ? StragglerAction::hedge : StragglerAction::none;
+  return canHedge ? StragglerAction::hedge : StragglerAction::none;
 }
 
 }  // namespace paddletrack
--- a/src/admission/straggler_policy.hpp
+++ b/src/admission/straggler_policy.hpp
@@ -12,7 +12,7 @@
 
 enum class StragglerAction : std::uint8_t { none, cancel, hedge };
 
-/// Decides what is done about attempts that take too long: an early timeout, a cancellation or a hedge.
+/// Handles attempts that take too long, with an early timeout, a cancellation or a hedge.
 class StragglerPolicy {
  public:
   StragglerPolicy(AdmissionContext& context, const CostEstimator& costs, const EngineHealth& health,
@@ -24,18 +24,19 @@
   void onAttemptStarted() { attemptsStarted_.add(context_.now, 1); }
   void onHedgeStarted() { hedges_.add(context_.now, 1); }
 
-  /// Updates the latency of the shortest class and the count of lost responses from an outcome that concerns
-  /// its engine.
+  /// Updates the mean latency of the shortest class and the number of lost responses from an outcome for
+  /// which EngineHealth::concernsEngine is true.
   void recordOutcome(const Attempt& attempt, AttemptOutcome outcome);
 
-  /// When the request's next attempt times out. Where nothing can be cancelled and responses get lost, an
-  /// attempt of the shortest class times out early, so that a retry can still succeed. One in five does not:
-  /// only these show whether responses still get lost.
+  /// Returns the time at which the request's next attempt times out. If attempts cannot be cancelled and
+  /// responses are being lost, an attempt of the shortest class times out early, so that a retry can still
+  /// succeed. One in five of these attempts keeps the full timeout, because only these show whether responses
+  /// are still being lost.
   Duration attemptTimeout(const Request& request);
 
-  /// What is to be done about the attempt. One that is far behind its expected time is cancelled while a
-  /// retry can still succeed. Where an estimate is the only evidence it is left alone, and hedged if the
-  /// deployment allows that, within a small part of all attempts.
+  /// Returns the action for the attempt. An attempt far behind its expected time is cancelled while a retry
+  /// can still succeed. If an estimate is the only evidence, the attempt is not cancelled, but hedged if the
+  /// deployment allows it, up to a small share of all attempts.
   StragglerAction evaluate(const Attempt& attempt);
 
  private:
@@ -46,7 +47,7 @@
   const EngineHealth& health_;
   AdmissionRules& rules_;
   double shortestLatencyRatio_ = 0;         // Mean latency of the shortest class relative to its objective.
-  SlidingWindowSum<double> lostResponses_;  // Attempts that timed out without any sign.
+  SlidingWindowSum<double> lostResponses_;  // Attempts that timed out without a response or progress.
   SlidingWindowSum<double> hedges_, attemptsStarted_;
 };
 
--- a/src/admission/tenant_quotas.cpp
+++ b/src/admission/tenant_quotas.cpp
@@ -5,7 +5,7 @@
 #include "model/time_conversion.hpp"
 
 namespace paddletrack {
-constexpr double kWindowSeconds = 8;  // Seconds that the arrivals are counted over.
+constexpr double kWindowSeconds = 8;  // Window over which arrivals are counted.
 
 TenantQuotas::TenantQuotas(const AdmissionContext& context)
     : context_(context), quotaArrivals_(toDuration(kWindowSeconds / 8)) {
--- a/src/admission/tenant_quotas.hpp
+++ b/src/admission/tenant_quotas.hpp
@@ -7,13 +7,14 @@
 
 namespace paddletrack {
 
-/// Tells which requests exceed the quota of their tenant.
+/// Determines which requests exceed the quota of their tenant.
 class TenantQuotas {
  public:
   explicit TenantQuotas(const AdmissionContext& context);
 
-  /// Counts the request and sets its `overQuota`: it then gets idle capacity only. This controller's share of
-  /// a quota grows where all tenants together send it more than its part, because another controller is down.
+  /// Counts the request and sets its `overQuota`; a request over quota gets only idle capacity. This
+  /// controller's share of each quota grows if all tenants together send it more than its share, because
+  /// another controller is then down.
   void onRequest(Request& request);
 
  private:
--- a/src/model/class_statistics.cpp
+++ b/src/model/class_statistics.cpp
@@ -22,11 +22,11 @@
 }
 
 void ResidencyStatistics::add(const Attempt& attempt, double threadSeconds) {
-  const double kept = 0.99;
-  time_ = time_ * kept + threadSeconds / attempt.threads;
-  squaredTime_ = squaredTime_ * kept + threadSeconds * threadSeconds / attempt.threads;
-  threadTime_ = threadTime_ * kept + threadSeconds;
-  memoryTime_ = memoryTime_ * kept + threadSeconds / attempt.threads * attempt.memoryMb;
+  const double retainedRatio = 0.99;
+  time_ = time_ * retainedRatio + threadSeconds / attempt.threads;
+  squaredTime_ = squaredTime_ * retainedRatio + threadSeconds * threadSeconds / attempt.threads;
+  threadTime_ = threadTime_ * retainedRatio + threadSeconds;
+  memoryTime_ = memoryTime_ * retainedRatio + threadSeconds / attempt.threads * attempt.memoryMb;
 }
 
 }  // namespace paddletrack
--- a/src/model/class_statistics.hpp
+++ b/src/model/class_statistics.hpp
@@ -6,13 +6,14 @@
 
 namespace paddletrack {
 
-/// What an answered attempt cost, as reported by its engine.
+/// The actual cost of a completed attempt, as reported by its engine.
 struct ActualCost {
   double threadSeconds = 0;
   double memoryMb = 0;
 };
 
-/// A mean that covers about the latest hundred samples; `mean` may start with a guess.
+/// A mean over about the latest 100 samples. `mean` may be initialized with an estimate, which the first
+/// sample replaces.
 struct RunningMean {
   double mean = 0;
   double sampleCount = 0;
@@ -20,31 +21,31 @@
   void add(double sample);
 };
 
-/// The costs of the requests of one class.
+/// Cost statistics of the requests of one admission class.
 struct ClassStatistics {
   RunningMean cost;                              ///< Thread-seconds of completed requests.
-  RunningMean memoryMb;                          ///< Need of completed requests.
-  RunningMean costBias{1, 0}, memoryBias{1, 0};  ///< The actual value relative to the declared one.
-  RunningMean arrivingCost;                      ///< Thread-seconds of all requests that arrived.
+  RunningMean memoryMb;                          ///< Memory needed by completed requests.
+  RunningMean costBias{1, 0}, memoryBias{1, 0};  ///< Ratio of actual to declared value.
+  RunningMean arrivingCost;                      ///< Estimated thread-seconds of all arriving requests.
 
-  /// Adds a completed request that took `threadSeconds` of its threads.
+  /// Adds a completed request that occupied its threads for `threadSeconds` in total.
   void addCompleted(const Request& request, double threadSeconds, const std::optional<ActualCost>& actual);
 };
 
-/// How long, on how many threads and with how much memory attempts stay on their engines. The sums are
-/// weighted so that they cover about the latest hundred attempts.
+/// Statistics of the residency time, threads and memory of attempts on their engines. The sums decay
+/// exponentially, so that they cover about the latest 100 attempts.
 class ResidencyStatistics {
  public:
-  /// Adds an attempt that took `threadSeconds` of its threads.
+  /// Adds an attempt that occupied its threads for `threadSeconds` in total.
   void add(const Attempt& attempt, double threadSeconds);
 
-  /// Threads that so many requests use on average.
-  double threadsOf(double requestCount) const { return requestCount * threadTime_ / time_; }
+  /// Mean number of threads used by `requestCount` requests in flight.
+  double meanThreads(double requestCount) const { return requestCount * threadTime_ / time_; }
 
-  /// Memory in MB that requests with so many threads hold on average.
-  double memoryMbOf(double threads) const { return threads * memoryTime_ / threadTime_; }
+  /// Mean memory in MB held by requests that use `threads` threads together.
+  double meanMemoryMb(double threads) const { return threads * memoryTime_ / threadTime_; }
 
-  /// Seconds until most of the requests that hold so many threads have finished.
+  /// Seconds until most of the requests that hold `threads` threads have finished.
   double drainSeconds(double threads) const { return threads * squaredTime_ / threadTime_; }
 
  private:
--- a/src/model/deployment.hpp
+++ b/src/model/deployment.hpp
@@ -10,9 +10,10 @@
 
 namespace paddletrack {
 
-/// Whether a request of a class may be executed more than once: always, within a window by its key, or never.
+/// Whether a request of a class may be executed more than once: always, by its key within the idempotency
+/// window, or never.
 enum class Idempotency : std::uint8_t { idempotent, idempotentByKey, notIdempotent };
-/// Where a request that is idempotent by its key may be retried.
+/// The engines on which a request that is idempotent by key may be retried.
 enum class RetryScope : std::uint8_t { anyEngine, sameZone, sameCell };
 
 /// An admission class.
@@ -22,22 +23,22 @@
   RetryScope retryScope = RetryScope::anyEngine;
   Duration idempotencyWindow{0};
   bool ordered = false;
-  std::optional<std::vector<unsigned>> allowedZones = std::nullopt;         ///< Absent: all.
-  std::optional<std::vector<unsigned>> allowedMachineTypes = std::nullopt;  ///< Absent: all.
+  std::optional<std::vector<unsigned>> allowedZones = std::nullopt;         ///< std::nullopt: all.
+  std::optional<std::vector<unsigned>> allowedMachineTypes = std::nullopt;  ///< std::nullopt: all.
   Duration latencyObjective{0};
-  double latencyObjectiveCostFactor = 0;  ///< Part of a request's cost that is added to its objective.
+  double latencyObjectiveCostFactor = 0;  ///< Share of a request's cost added to its objective.
   Duration requestTimeout{0};
-  double lateWeight = 0;  ///< What an answer after the objective is worth.
+  double lateWeight = 0;  ///< Value of a response after the latency objective.
   int threads = 1;
   bool isDataLoad = false;
-  bool waitsForDataLoads = false;  ///< It waits for loads of the data set that it reads.
+  bool waitsForDataLoads = false;  ///< Its requests wait for data loads of their data set.
 
-  /// Thread-seconds that a request takes by the latency objective.
+  /// Thread-seconds of a request that takes exactly the latency objective.
   double nominalCost() const;
 };
 
 struct Tenant {
-  double quotaPerSecond = 0;  ///< Requests; 0: no quota.
+  double quotaPerSecond = 0;  ///< Requests per second; 0: no quota.
 };
 
 struct MachineType {
@@ -45,7 +46,7 @@
   double memoryMb = 0;
 };
 
-/// The settings of a deployment, as a controller reads them at its start.
+/// The settings of a deployment. A controller reads them once, at startup.
 struct Deployment {
   unsigned controllerCount = 1;
   unsigned zone = 0;
@@ -53,12 +54,12 @@
   std::vector<Tenant> tenants;
   std::vector<MachineType> machineTypes;
 
-  bool loadsBlockReaders = false;    ///< Some class waits for data loads.
-  bool weightGrowsWithWork = false;  ///< A request's weight grows with its work.
+  bool loadsBlockReaders = false;    ///< True if the requests of some class wait for data loads.
+  bool weightGrowsWithWork = false;  ///< The value of a request grows with its cost.
   bool honorsMemoryGrants = false;
-  bool allowsMemoryOvercommit = false;  ///< Only memory in use slows an engine, not grants.
-  bool lacksCostReports = false;        ///< No response reports the actual cost.
-  double maxMemoryGrantMb = 0;          ///< For one request.
+  bool allowsMemoryOvercommit = false;  ///< An engine is slowed by memory in use, not by grants.
+  bool lacksCostReports = false;        ///< Responses never report the actual cost.
+  double maxMemoryGrantMb = 0;          ///< Per request.
   bool honorsPriorities = false;
   Duration progressInterval{0};
 
@@ -82,7 +83,7 @@
   Duration orderingHold{0};
   double retryBudgetMin = 0;
   double retryBudgetRatio = 0;
-  Duration retryBudgetWindow{0};  ///< 0: retries have no budget.
+  Duration retryBudgetWindow{0};  ///< 0: retries are not limited by a budget.
   double crossZoneCost = 0;
 };
 
--- a/src/model/engine.cpp
+++ b/src/model/engine.cpp
@@ -66,7 +66,8 @@
   if (usesPeerReports) peerLoads.resize(deployment.controllerCount, {0, 0, now});
   for (auto* window : {&successes, &failures, &rejections, &threadTimeSpent, &workCompleted})
     *window = SlidingWindowSum<double>(bucketDuration);
-  // Seven whole buckets of the eight cover the rule's window, and a little more.
+  // The current one of the eight buckets is incomplete: the seven complete ones cover slightly more than the
+  // warm-up window.
   warmupWorkSent = SlidingWindowSum<double>(deployment.warmupWindow / 7 + Duration{1});
 }
 
@@ -75,7 +76,7 @@
   workCompleted.add(now, workSeconds);
 }
 
-void Engine::forgetProcess() {
+void Engine::resetProcessState() {
   for (auto* window : {&failures, &rejections, &threadTimeSpent, &workCompleted}) window->clear();
   cachedDataSets.clear();
   othersThreads = othersMemoryMb = 0;
--- a/src/model/ordering_queues.hpp
+++ b/src/model/ordering_queues.hpp
@@ -8,26 +8,26 @@
 
 namespace paddletrack {
 
-/// The ordered requests of each key, in the order of their arrival. The functions do nothing for requests
-/// that are not ordered. It does not own the requests.
+/// Ordering queues: the ordered requests of each key in the order of their arrival. Requests that are not
+/// ordered are ignored. The requests are owned by the caller.
 class OrderingQueues {
  public:
-  /// Adds a request behind the earlier ones of its key.
+  /// Adds the request behind the earlier requests of its key.
   void add(Request& request);
 
-  /// True if the request is the first of its key.
+  /// Returns true if the request is the first of its key or is not ordered.
   bool isFirst(const Request& request) const;
 
-  /// Holds the key of the request back until `until`.
+  /// Starts an ordering hold on the key of the request that lasts until `until`.
   void hold(const Request& request, Duration until);
 
-  /// Until when the key of the request is held back.
+  /// Returns the end of the ordering hold on the key of the request; 0 if there was none.
   Duration heldUntil(const Request& request) const;
 
-  /// Removes the request; returns the first of its key that is left, null if there is none.
+  /// Removes the request. Returns the first remaining request of its key, or null if there is none.
   Request* remove(Request& request);
 
-  /// Drops the keys that no request waits for and that are not held back any more.
+  /// Drops the keys that have neither requests nor an ordering hold.
   void dropIdleKeys(Duration now);
 
  private:
--- a/src/model/request.cpp
+++ b/src/model/request.cpp
@@ -16,14 +16,14 @@
          outcome == AttemptOutcome::cancelled || outcome == AttemptOutcome::connectionAborted;
 }
 
-Attempt::Attempt(Request& ownRequest, Engine& target, Duration now)
-    : request(&ownRequest),
+Attempt::Attempt(Request& parentRequest, Engine& target, Duration now)
+    : request(&parentRequest),
       engine(&target),
-      index(static_cast<std::uint8_t>(ownRequest.attempts.size())),
+      index(static_cast<std::uint8_t>(parentRequest.attempts.size())),
       sentAt(now),
-      timesOutAt(ownRequest.deadline),
-      threads(ownRequest.threads()),
-      costTokens(ownRequest.costTokens),
+      timesOutAt(parentRequest.deadline),
+      threads(parentRequest.threads()),
+      costTokens(parentRequest.costTokens),
       zone(target.endpoint.zone),
       cell(target.endpoint.cell) {}
 
@@ -36,10 +36,10 @@
 }
 
 const Attempt* Request::lastAttemptOn(const Engine& engine) const {
-  const Attempt* last = nullptr;
+  const Attempt* latest = nullptr;
   for (const auto& attempt : attempts)
-    if (attempt->engine == &engine) last = attempt.get();
-  return last;
+    if (attempt->engine == &engine) latest = attempt.get();
+  return latest;
 }
 
 PeerReport makePeerReport(const std::vector<Engine*>& engines) {
--- a/src/model/request_queue.hpp
+++ b/src/model/request_queue.hpp
@@ -7,19 +7,20 @@
 
 namespace paddletrack {
 
-/// Requests by the time at which they are due. It keeps their `queued` and does not own them.
+/// Requests sorted by the time at which they are due. The queue maintains Request::queued. The requests are
+/// owned by the caller.
 class RequestQueue {
  public:
-  /// Queues the request, or moves it if it is queued already.
+  /// Adds the request, or reschedules it if it is already queued.
   void enqueue(Request& request, Duration dueAt);
 
-  /// Takes the request off the queue if it is queued.
+  /// Removes the request if it is queued.
   void dequeue(Request& request);
 
-  /// Takes the first request that is due by `now` off the queue; null if there is none.
+  /// Removes and returns the first request that is due by `now`; returns null if there is none.
   Request* takeDue(Duration now);
 
-  /// When the first request is due; absent if the queue is empty.
+  /// Returns the time at which the first request is due; std::nullopt if the queue is empty.
   std::optional<Duration> nextDueAt() const;
 
  private:
--- a/src/model/time_conversion.hpp
+++ b/src/model/time_conversion.hpp
@@ -6,10 +6,10 @@
 
 namespace paddletrack {
 
-/// The duration in seconds.
+/// Returns the duration in seconds.
 inline double toSeconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-/// The duration of `seconds`, truncated to the resolution of Duration.
+/// Returns a duration of `seconds`, truncated to the resolution of Duration.
 inline Duration toDuration(double seconds) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
