--- a/tests/admission/admission_rules_test.cpp
+++ b/tests/admission/admission_rules_test.cpp
@@ -1,4 +1,4 @@
-// The seven rules: each story fails when its guard is taken out.
+// The seven admission rules. Removing the check of a rule makes a test of that rule fail.
 #include <gtest/gtest.h>
 
 #include "support/fake_admission_host.hpp"
@@ -25,7 +25,7 @@
   host.finishAllAttempts(AttemptOutcome::error);
   EXPECT_EQ(host.startedAttempts.size(), attemptsBefore);
   EXPECT_EQ(std::count(host.rejectedRequests.begin(), host.rejectedRequests.end(), &leavingRequest),
-            0);  // leaving was its end
+            0);  // the disconnect finished it
 }
 
 TEST(RequestAnswerRule, RejectsRequestWhenNoEngineExists) {
@@ -41,13 +41,13 @@
   host.submitRequest(0);
   host.finishAttempt(*host.startedAttempts[0], AttemptOutcome::reset);
   EXPECT_EQ(host.startedAttempts.size(), 1U);
-  EXPECT_EQ(host.failedRequests.size(), 1U);  // at once
+  EXPECT_EQ(host.failedRequests.size(), 1U);  // immediately
   host.submitRequest(0);
-  host.finishAttempt(*host.startedAttempts[1], AttemptOutcome::unreachable);  // proven unrun: again
+  host.finishAttempt(*host.startedAttempts[1], AttemptOutcome::unreachable);  // proven not executed: retried
   EXPECT_EQ(host.startedAttempts.size(), 3U);
 }
 
-TEST(RetrySafetyRule, KeepsRetriesOfKeyedRequestWithinScopeAndWindow) {
+TEST(RetrySafetyRule, KeepsRetriesOfRequestIdempotentByKeyWithinScopeAndWindow) {
   FakeAdmissionHost host;
   host.deployment.requestClasses[0].idempotency = Idempotency::idempotentByKey;
   host.deployment.requestClasses[0].retryScope = RetryScope::sameCell;
@@ -60,7 +60,7 @@
     host.finishAttempt(*request.attempts[0], AttemptOutcome::error);
     host.advanceTime(300ms);
     const unsigned cell = request.attempts[0]->engine->endpoint.cell;
-    for (const auto& one : request.attempts) EXPECT_EQ(one->engine->endpoint.cell, cell);
+    for (const auto& attempt : request.attempts) EXPECT_EQ(attempt->engine->endpoint.cell, cell);
     host.finishAllAttempts();
   }
   Request& lateRequest = host.submitRequest(0);
@@ -87,8 +87,8 @@
   host.updateEndpoint(0, {.state = EndpointState::draining});
   host.submitRequests(8, 0);
   EXPECT_EQ(host.countAttemptsTo(0), 0U);
-  host.controller->onEndpointUpdate(host.now, true,
-                                    {{&host.engines[0], EndpointRecord{}}});  // the other has left
+  host.controller->onEndpointUpdate(
+      host.now, true, {{&host.engines[0], EndpointRecord{}}});  // engine 1 is not in the snapshot
   const std::size_t attemptsBefore = host.countAttemptsTo(1);
   host.submitRequests(8, 0);
   EXPECT_EQ(host.countAttemptsTo(1), attemptsBefore);
@@ -105,38 +105,40 @@
     host.advanceTime(50ms);
     host.finishAllAttempts();
   }
-  // 3 x 0.3 x 8 cores x 2 s for both controllers; a job counts as half a second, its type's usual work.
-  double maxInWindow = 0;
+  // The budget of both controllers is 3 x 0.3 x 8 cores x 2 s = 14.4 thread-seconds. A request is charged
+  // half a second, the nominal cost of its class.
+  double maxWindowWork = 0;
   for (const Attempt* windowStart : host.startedAttempts) {
-    double inWindow = 0;
+    double windowWork = 0;
     for (const Attempt* startedAttempt : host.startedAttempts) {
-      inWindow +=
+      windowWork +=
           startedAttempt->sentAt >= windowStart->sentAt && startedAttempt->sentAt < windowStart->sentAt + 2s
               ? 0.1
               : 0;
     }
-    maxInWindow = std::max(maxInWindow, inWindow);
+    maxWindowWork = std::max(maxWindowWork, windowWork);
   }
-  EXPECT_GT(maxInWindow, 0);
-  EXPECT_LE(maxInWindow, 14.4 / 2);
+  EXPECT_GT(maxWindowWork, 0);
+  EXPECT_LE(maxWindowWork, 14.4 / 2);
 }
 
 TEST(WarmupRule, RoundsFractionalSharesRandomlyWhenControllersAreMany) {
-  std::size_t sent = 0;
-  for (std::uint64_t seed = 1; seed <= 200; ++seed) {  // all controllers of a site
+  std::size_t sentCount = 0;
+  for (std::uint64_t seed = 1; seed <= 200; ++seed) {  // one host per controller of a deployment
     FakeAdmissionHost host;
     host.deployment.controllerCount = 200;
     host.startController(1, seed);
     for (int index = 0; index < 12; ++index) {
       if (index == 8) host.updateEndpoint(0, {.startedAt = host.now});
-      const std::size_t startedNow = host.submitRequests(2, 0);
-      sent += index < 8 ? 0 : startedNow;
+      const std::size_t startedCount = host.submitRequests(2, 0);
+      sentCount += index < 8 ? 0 : startedCount;
       host.advanceTime(500ms);
       host.finishAllAttempts();
     }
   }
-  EXPECT_GT(sent, 10U);  // 0.3 x 8 cores x 2 s hold 48 jobs of 100 ms; three times as many push it over
-  EXPECT_LT(sent, 72U);
+  EXPECT_GT(sentCount,
+            10U);  // 0.3 x 8 cores x 2 s hold 48 requests of 100 ms; three times as many overload it
+  EXPECT_LT(sentCount, 72U);
 }
 
 TEST(OrderingRule, RunsRequestsOfOneKeySequentiallyWithHold) {
@@ -150,7 +152,7 @@
   EXPECT_EQ(otherRequest.attempts.size(), 1U);
   host.advanceTime(100ms);
   EXPECT_TRUE(secondRequest.attempts.empty());
-  host.controller->onClientGone(host.now, firstRequest);  // its dispatch is still out
+  host.controller->onClientGone(host.now, firstRequest);  // its attempt is still in flight
   host.advanceTime(100ms);
   EXPECT_TRUE(secondRequest.attempts.empty());
   host.finishAttempt(*firstRequest.attempts[0], AttemptOutcome::timedOut);
@@ -209,8 +211,9 @@
   EXPECT_LE(retries, 4U);
 }
 
-// Counted as the rule counts, at each further dispatch: those of the 10 s before, both ends in, against the
-// jobs taken in as long, the far end out. Bursts and pauses of odd lengths meet the edges of buckets.
+// Counts like the rule: at each retry, the retries of the preceding 10 s (both ends included) against the
+// requests that arrived in the same time (its start excluded). Bursts and pauses of irregular length exercise
+// the bucket boundaries of the sliding windows.
 TEST(RetryBudgetRule, LimitsRetriesInEverySlidingWindow) {
   std::size_t tightWindows = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
@@ -229,32 +232,32 @@
     std::vector<Duration> retries;
     for (const Attempt* startedAttempt : host.startedAttempts)
       if (startedAttempt->index > 0) retries.push_back(startedAttempt->sentAt);
-    for (const Duration at : retries) {
-      const auto isWithinWindow = [&](Duration instant) {
-        return instant >= at - host.deployment.retryBudgetWindow && instant <= at;
+    for (const Duration retryTime : retries) {
+      const auto isWithinWindow = [&](Duration time) {
+        return time >= retryTime - host.deployment.retryBudgetWindow && time <= retryTime;
       };
       const auto retryCount = std::count_if(retries.begin(), retries.end(), isWithinWindow);
       const auto requestCount =
           std::count_if(host.requests.begin(), host.requests.end(), [&](const Request& request) {
             return isWithinWindow(request.arrivedAt) &&
-                   request.arrivedAt > at - host.deployment.retryBudgetWindow;
+                   request.arrivedAt > retryTime - host.deployment.retryBudgetWindow;
           });
       const double budget = 5 + 0.1 * static_cast<double>(requestCount);
-      EXPECT_LE(static_cast<double>(retryCount), budget) << seed << ' ' << at.count();
+      EXPECT_LE(static_cast<double>(retryCount), budget) << seed << ' ' << retryTime.count();
       tightWindows += static_cast<double>(retryCount) > budget - 1;
     }
   }
-  EXPECT_GT(tightWindows, 0U);  // the limit itself was met
+  EXPECT_GT(tightWindows, 0U);  // some windows use the budget up to the limit
 }
 
-TEST(EndpointDiscovery, WatchesAndRequestsListAgainWhenDiscoveryFails) {
+TEST(EndpointDiscovery, RequestsEndpointListAgainWhenDiscoveryFails) {
   FakeAdmissionHost host;
   host.deployment.requiresDiscoveryPolling = true;
   host.deployment.maxDiscoveryPollInterval = 6s;
   host.startController(1);
   host.controller->onDiscoveryFailed(host.now);
   host.advanceTime(2s);
-  EXPECT_GE(std::count(host.actionLog.begin(), host.actionLog.end(), 'w'), 2);
+  EXPECT_GE(std::count(host.actionLog.begin(), host.actionLog.end(), 'w'), 2);  // of "watch"
 }
 
 }  // namespace
--- a/tests/support/fake_admission_host.hpp
+++ b/tests/support/fake_admission_host.hpp
@@ -12,7 +12,8 @@
 
 using namespace std::chrono_literals;
 
-// A whole small site for one controller; it keeps what that does, as objects and as a line an action.
+// A small deployment with one controller. It records the actions of the controller as objects, and as one
+// line per action in `actionLog`.
 class FakeAdmissionHost : public AdmissionHost {
  public:
   Deployment deployment = [] {
@@ -44,9 +45,9 @@
   std::vector<Duration> retryAfters;
   std::vector<double> memoryGrantsMb;
   int peerReportCount = 0;
-  std::vector<std::vector<Candidate>> decisionTraces;  // where telling is on
-  double requestMemoryMb = 0;                          // of the jobs to come
-  std::size_t tenant = 0;                              // the same
+  std::vector<std::vector<Candidate>> decisionTraces;  // while the decision trace is enabled
+  double requestMemoryMb = 0;                          // declared by the requests submitted next
+  std::size_t requestTenantIndex = 0;                  // of the requests submitted next
   std::string actionLog;
   std::unique_ptr<AdmissionController> controller;
 
@@ -74,7 +75,7 @@
     request.declaredCost = cost;
     request.key = orderingKey;
     request.declaredMemoryMb = requestMemoryMb;
-    request.tenantIndex = tenant;
+    request.tenantIndex = requestTenantIndex;
     controller->onRequest(now, request);
     return request;
   }
@@ -96,8 +97,8 @@
   void advanceTime(Duration duration) {
     for (const Duration end = now + duration; now < end;) {
       now += std::max(deployment.tickDuration, Duration{1ms});
-      if (wakeTime && *wakeTime <= now) {
-        wakeTime.reset();
+      if (timerDueAt && *timerDueAt <= now) {
+        timerDueAt.reset();
         controller->onTimer(now);
       }
     }
@@ -110,20 +111,20 @@
 
   void sendAttempt(Attempt& attempt) override {
     startedAttempts.push_back(&attempt);
-    appendAction("dispatch", attempt.request->id, attempt.engine->number);
+    appendAction("attempt", attempt.request->id, attempt.engine->number);
   }
   void assignResources(Request&, double grantMb, int) override { memoryGrantsMb.push_back(grantMb); }
   void reject(Request& request, Duration retryAfter) override {
     rejectedRequests.push_back(&request);
     retryAfters.push_back(retryAfter);
-    appendAction("throttle", request.id, static_cast<std::uint64_t>(retryAfter.count()));
+    appendAction("reject", request.id, static_cast<std::uint64_t>(retryAfter.count()));
   }
   void fail(Request& request) override {
     failedRequests.push_back(&request);
     appendAction("cancel", request.id, 0);
   }
   void cancel(Attempt& attempt) override { cancelledAttempts.push_back(&attempt); }
-  void scheduleTimer(Duration time) override { wakeTime = wakeTime ? std::min(*wakeTime, time) : time; }
+  void scheduleTimer(Duration time) override { timerDueAt = timerDueAt ? std::min(*timerDueAt, time) : time; }
   void sendHealthCheck(Engine& engine) override { appendAction("probe", engine.number, 0); }
   void sendPeerReport(const std::vector<PeerEngineLoad>&) override { ++peerReportCount; }
   void requestEndpoints() override { appendAction("watch", 0, 0); }
@@ -137,7 +138,7 @@
     actionLog += std::string(action) + ' ' + std::to_string(subject) + ' ' + std::to_string(argument) + ' ' +
                  std::to_string(now.count()) + '\n';
   }
-  std::optional<Duration> wakeTime;
+  std::optional<Duration> timerDueAt;
 };
 
 }  // namespace paddletrack
