--- a/src/admission/load_exchange.hpp
+++ b/src/admission/load_exchange.hpp
@@ -20,7 +20,8 @@
 
  private:
   void sendPeerReport();
-  // Sends health checks to the engines whose load report is stale (less often with fractional shares), at
+  // Used if load reports come with the answers to health checks and there are no peer reports. Sends
+  // health checks to the engines whose load report is stale (less often with fractional shares), at
   // most one per two requests. Each controller thus has fresh reports of different engines: when all
   // controllers saw the same idle engine, all sent their requests to it until the next check.
   void checkStaleEngines();
