--- a/src/admin/admin_protocol.cpp
+++ b/src/admin/admin_protocol.cpp
@@ -37,14 +37,14 @@
 constexpr Duration kMinWatchInterval{std::chrono::milliseconds(20)};
 constexpr Duration kMaxWatchInterval{std::chrono::hours(1)};
 constexpr std::size_t kMaxIdBytes = 64;
-constexpr std::size_t kMaxQuotedBytes = 40;  // Of a wrong name in an error.
-constexpr int kMaxNesting = 4;               // No message of the protocol is nested deeper than two.
+constexpr std::size_t kMaxQuotedBytes = 40;  // Part of an unknown name that an error message quotes.
+constexpr int kMaxNesting = 4;               // No message of the protocol has more than two levels.
 
 std::int64_t toMilliseconds(Duration span) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
 }
 
-// The depth is checked before the text is parsed, because the JSON parser recurses.
+// Checks the nesting depth before parsing, because the JSON parser is recursive.
 Json parseJsonObject(std::string_view line) {
   int depth = 0;
   bool inString = false;
@@ -63,7 +63,7 @@
   }
   Json message = Json::parse(line, nullptr, false);
   if (message.is_discarded() || !message.is_object())
-    throw BadRequest("unreadable", "a JSON object a line is expected");
+    throw BadRequest("unreadable", "expected one JSON object per line");
   return message;
 }
 
@@ -71,7 +71,7 @@
   const auto field = message.find(key);
   if (field == message.end() || field->is_null()) return std::nullopt;
   if (!field->is_number_integer())
-    throw BadRequest("bad_value", std::string(key), "whole milliseconds are expected");
+    throw BadRequest("bad_value", std::string(key), "expected a whole number of milliseconds");
   constexpr std::int64_t kMaxMilliseconds = 1000LL * 86400 * 365;
   const bool isTooLarge = field->is_number_unsigned() &&
                           field->get<std::uint64_t>() > static_cast<std::uint64_t>(kMaxMilliseconds);
@@ -80,31 +80,32 @@
   return std::chrono::milliseconds(std::min(value, kMaxMilliseconds));
 }
 
-// Returns the request's id as it was written, for the reply.
+// Returns the JSON text of the request's id, which the reply repeats; "null" if the request has no id.
 std::string readId(const Json& message) {
   const auto field = message.find("id");
   if (field == message.end()) return "null";
   if (!field->is_string() && !field->is_number_integer() && !field->is_null())
-    throw BadRequest("bad_value", "id", "a text or a whole number is expected");
+    throw BadRequest("bad_value", "id", "expected a string or an integer");
   const std::string id = field->dump(-1, ' ', false, Json::error_handler_t::replace);
   if (id.size() > kMaxIdBytes)
-    throw BadRequest("bad_value", "id", std::to_string(kMaxIdBytes) + " bytes at most");
+    throw BadRequest("bad_value", "id", std::to_string(kMaxIdBytes) + " bytes is the maximum length");
   return id;
 }
 
 void checkVersion(const Json& message) {
   const auto version = message.find("v");
   if (version == message.end() || !version->is_number_integer())
-    throw BadRequest("bad_version", "v", "the version is expected, " + std::to_string(kProtocolVersion));
+    throw BadRequest("bad_version", "v", "must be the protocol version, " + std::to_string(kProtocolVersion));
   if (*version != kProtocolVersion)
     throw BadRequest("bad_version", "v",
-                     "this door speaks version " + std::to_string(kProtocolVersion) + " alone");
+                     "unsupported version; this admin server supports version " +
+                         std::to_string(kProtocolVersion) + " only");
 }
 
 const CommandEntry& readCommand(const Json& message) {
   const auto field = message.find("do");
   if (field == message.end() || !field->is_string())
-    throw BadRequest("bad_value", "do", "what is wanted is expected");
+    throw BadRequest("bad_value", "do", "expected the name of a command");
   const std::string& name = field->get_ref<const std::string&>();
   const auto* const entry = std::find_if(kCommands.begin(), kCommands.end(),
                                          [&](const CommandEntry& known) { return name == known.name; });
@@ -115,7 +116,7 @@
   const std::string closest = findClosestName(quotedName, knownNames);
   throw BadRequest(
       "unknown_wish", "do",
-      "'" + quotedName + "' is unknown" + (closest.empty() ? "" : "; '" + closest + "' is meant?"));
+      "unknown command '" + quotedName + "'" + (closest.empty() ? "" : "; did you mean '" + closest + "'?"));
 }
 
 bool isKeyOf(Command command, const std::string& key) {
@@ -140,13 +141,13 @@
   for (const auto& [key, value] : message.items())
     if (!isKeyOf(command.command, key))
       throw BadRequest("unknown_key",
-                       "'" + key.substr(0, kMaxQuotedBytes) + "' is not known of " + command.name);
+                       "unknown key '" + key.substr(0, kMaxQuotedBytes) + "' for command " + command.name);
 }
 
 std::string readTextField(const Json& message, const char* key) {
   const auto field = message.find(key);
   if (field == message.end() || !field->is_string())
-    throw BadRequest("bad_value", std::string(key), "a text is expected");
+    throw BadRequest("bad_value", std::string(key), "expected a string");
   return field->get<std::string>();
 }
 
@@ -157,14 +158,15 @@
   const auto* const entry = std::find_if(kOverrides.begin(), kOverrides.end(),
                                          [&](const OverrideEntry& known) { return name == known.name; });
   if (entry == kOverrides.end())
-    throw BadRequest("bad_value", "what", "\"avoid\", \"use\" or \"free\" is expected");
+    throw BadRequest("bad_value", "what", "must be \"avoid\", \"use\" or \"free\"");
   request.addressOverride = entry->manualOverride;
   request.overrideDuration = readDurationField(message, "for_ms").value_or(Duration{0});
   const bool isCleared = request.addressOverride == ManualOverride::clear;
   if (!isCleared &&
       (request.overrideDuration <= Duration{0} || request.overrideDuration > kMaxOverrideDuration))
     throw BadRequest("bad_value", "for_ms",
-                     "up to " + formatDuration(kMaxOverrideDuration) + " is expected; it ends by itself");
+                     "must be more than 0 and at most " + formatDuration(kMaxOverrideDuration) +
+                         "; the override ends after this time");
 }
 
 void readWatchInterval(const Json& message, AdminRequest& request) {
@@ -172,8 +174,8 @@
   if (!interval) return;
   if (*interval < kMinWatchInterval || *interval > kMaxWatchInterval)
     throw BadRequest("bad_value", "every_ms",
-                     "from " + std::to_string(toMilliseconds(kMinWatchInterval)) + " to " +
-                         std::to_string(toMilliseconds(kMaxWatchInterval)) + " is expected");
+                     "must be from " + std::to_string(toMilliseconds(kMinWatchInterval)) + " to " +
+                         std::to_string(toMilliseconds(kMaxWatchInterval)) + " milliseconds");
   request.watchInterval = *interval;
 }
 
@@ -236,7 +238,7 @@
 std::string formatDrainErrorReply(const std::string& id, drain::DrainError drainError,
                                   const drain::Options& options) {
   const std::string allowedRange =
-      "from 0 to " + formatDuration(options.maxDeadline) + " is expected (drain.longest)";
+      "must be from 0 to " + formatDuration(options.maxDeadline) + " (drain.longest)";
   switch (drainError) {
     case drain::DrainError::invalidDeadline:
       return formatErrorReply(id, "bad_deadline", "deadline: " + allowedRange);
@@ -244,9 +246,9 @@
       return formatErrorReply(id, "bad_come_back", "come back: " + allowedRange);
     case drain::DrainError::stopping:
       return formatErrorReply(id, "stopping",
-                              "the process was told to end (SIGTERM) and can't be brought back");
+                              "the process is shutting down (SIGTERM) and cannot return to service");
     default:
-      return formatErrorReply(id, "not_draining", "it is not draining: nothing to cancel");
+      return formatErrorReply(id, "not_draining", "the controller is not draining; nothing to cancel");
   }
 }
 
--- a/src/admin/admin_protocol.hpp
+++ b/src/admin/admin_protocol.hpp
@@ -1,5 +1,5 @@
-/// The protocol of the admin server, version 1: JSON messages, one on a line. docs/operating/drain.md
-/// describes it.
+/// The protocol of the admin server, version 1: one JSON message per line. docs/operating/drain.md describes
+/// it.
 #pragma once
 
 #include <optional>
@@ -14,7 +14,7 @@
 
 constexpr int kProtocolVersion = 1;
 
-/// A request that can't be processed. The code is part of the protocol and does not change.
+/// A request that cannot be processed. The code is part of the protocol and must not change.
 struct BadRequest : ErrorOfKind<ErrorKind::invalidAdminRequest> {
   BadRequest(const char* errorCode, const std::string& what) : ErrorOfKind(what), code(errorCode) {}
   BadRequest(const char* errorCode, const std::string& key, const std::string& what)
@@ -22,27 +22,28 @@
   const char* code;
 };
 
-/// What a request asks for (key `do`).
+/// The command of a request (key `do`).
 enum class Command { status, drain, cancel, watch, engines, address };
-/// A request from a client. Only the members of its command are set.
+/// A request from a client. Only the members that belong to its command are set.
 struct AdminRequest {
-  std::string id = "null";  // As it was written, for the reply.
+  std::string id = "null";  // JSON text, repeated in the reply.
   Command command = Command::status;
-  std::optional<Duration> deadline;                        // Of `drain`, from now.
-  std::optional<Duration> retryAfter;                      // Of `drain`.
-  Duration watchInterval{std::chrono::milliseconds(500)};  // Of `watch`.
-  std::string firstEngineId;                               // Of `engines`: only those from this id on.
-  std::string engine;                                      // Of `address`, as the members below.
+  std::optional<Duration> deadline;    // For `drain`: time from now.
+  std::optional<Duration> retryAfter;  // For `drain`: time after which rejected clients may retry.
+  Duration watchInterval{std::chrono::milliseconds(500)};  // For `watch`.
+  std::string firstEngineId;                               // For `engines`: reports engines from this id on.
+  std::string engine;                                      // For `address`, like the members below.
   std::string address;
   addresses::AddressTable::ManualOverride addressOverride = addresses::AddressTable::ManualOverride::clear;
   Duration overrideDuration{0};
 };
-/// Throws BadRequest. `id` is set as soon as it is read, so that the error reply has it too.
+/// Parses one message. Throws BadRequest. Sets `id` as soon as it has been read, so that an error reply can
+/// repeat it.
 AdminRequest parseAdminRequest(std::string_view line, std::string& id);
 
 std::string formatStatusReply(const std::string& id, const ControllerStatus& status);
 std::string formatProgressEvent(const ControllerStatus& status);
-/// A reply has at most this many engines and names the next one.
+/// Maximum number of engines in a reply; if there are more, the reply names the id of the next one.
 constexpr std::size_t kMaxEnginesPerReply = 64;
 std::string formatEnginesReply(const std::string& id, const std::vector<EngineStatus>& engines);
 std::string formatOkReply(const std::string& id);
@@ -50,7 +51,7 @@
 std::string formatDrainErrorReply(const std::string& id, drain::DrainError drainError,
                                   const drain::Options& options);
 
-// Requests, for the commands that talk to an admin server.
+// Requests that the command line sends to an admin server.
 std::string formatDrainRequest(std::optional<Duration> deadline, std::optional<Duration> retryAfter);
 std::string formatCancelRequest();
 std::string formatStatusRequest();
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -12,7 +12,7 @@
 namespace paddletrack::admin {
 namespace {
 
-// Keeps a session in the list of those that get progress events.
+// Keeps a session in the list of sessions that receive progress events, for as long as this object lives.
 class SessionRegistration {
  public:
   SessionRegistration(std::list<AdminSession*>& sessions, AdminSession& session)
@@ -64,10 +64,11 @@
 }
 
 void AdminServer::rejectClient(const transport::Descriptor& accepted) const {
-  log_.warning("door", Error(ErrorKind::adminConnectionLimit, options_.socketPath,
-                             "full: " + std::to_string(options_.maxClients) + " clients"));
+  log_.warning("door",
+               Error(ErrorKind::adminConnectionLimit, options_.socketPath,
+                     "connection limit reached: " + std::to_string(options_.maxClients) + " clients"));
   const std::string response =
-      formatErrorReply("null", "busy", "the door has as many clients as it may (door.clients)");
+      formatErrorReply("null", "busy", "the admin server has reached its connection limit (door.clients)");
   ::send(accepted.fd(), response.data(), response.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
 }
 
@@ -82,10 +83,10 @@
 }
 
 transport::Task<> AdminServer::serveClient(std::unique_ptr<transport::Descriptor> accepted) {
-  std::string peerName = "somebody unknown";
+  std::string peerName = "unknown peer";
   if (!isPeerAllowed(accepted->fd(), peerName)) {
-    log_.warning("door",
-                 Error(ErrorKind::permissionDenied, options_.socketPath, peerName + " is not let in"));
+    log_.warning("door", Error(ErrorKind::permissionDenied, options_.socketPath,
+                               peerName + " is not allowed to connect"));
     co_return;
   }
   AdminSession session(scheduler_, options_, lifecycle_, outputBudget_, std::move(accepted),
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -12,12 +12,12 @@
 
 namespace paddletrack::admin {
 
-/// The operators' access to the controller: a Unix socket that admits only processes of the owner and of
-/// root. Time and memory of each client are limited, so that no client affects the controller's requests. All
-/// references must outlive the server.
+/// Serves the admin protocol on a Unix socket. Only processes of the controller's user and of root may
+/// connect. The time and memory of each client are limited, so that no client affects the controller's
+/// requests. All references must outlive the server.
 class AdminServer {
  public:
-  /// Listens at once. Throws an Error (adminSocketFailed) if the socket can't be made.
+  /// Starts to listen. Throws an Error (adminSocketFailed) if the socket cannot be created.
   AdminServer(transport::Scheduler& scheduler, const AdminServerOptions& options, ServiceLifecycle& lifecycle,
               const Logger& log);
   AdminServer(const AdminServer&) = delete;
@@ -28,7 +28,8 @@
   transport::Task<> acceptClients();
   transport::Task<> serveClient(std::unique_ptr<transport::Descriptor> accepted);
   void rejectClient(const transport::Descriptor& accepted) const;
-  /// Checks the owner of the peer's process, and describes the process for the log in `peerName`.
+  /// Returns whether the user of the peer process may connect. Sets `peerName` to a description of the
+  /// process for the log; leaves it unchanged if the credentials cannot be read.
   static bool isPeerAllowed(int fd, std::string& peerName);
 
   transport::Scheduler& scheduler_;
--- a/src/admin/admin_session.cpp
+++ b/src/admin/admin_session.cpp
@@ -9,7 +9,7 @@
 using transport::BufferSlice;
 
 constexpr std::size_t kInitialInputBytes = 1024;
-constexpr int kRejectionTimeoutDivisor = 10;  // Part of the idle timeout for the last response to be read.
+constexpr int kRejectionTimeoutDivisor = 10;  // Wait for idle timeout / 10 until an error reply is read.
 constexpr std::size_t kMaxQuotedEngineBytes = 60;
 constexpr std::size_t kMaxQuotedAddressBytes = 120;
 
@@ -46,7 +46,7 @@
   }
 }
 
-// A client that watches need not send anything, but has to complete a message that it has begun.
+// A client that watches need not send anything, but must complete a message that it has started.
 bool AdminSession::isAwaitingInput() const { return !watchInterval_ || !connection_.input().view().empty(); }
 
 bool AdminSession::hasTimedOut(transport::TimePoint now) const {
@@ -63,12 +63,12 @@
 
 transport::Task<> AdminSession::rejectOversizedMessage() {
   connection_.send({BufferSlice(formatErrorReply(
-      "null", "too_long", "a message has " + std::to_string(options_.maxLineBytes) + " bytes at most"))});
+      "null", "too_long", "a message must not exceed " + std::to_string(options_.maxLineBytes) + " bytes"))});
   co_await connection_.waitUntilDrained(0,
                                         scheduler_.now() + options_.idleTimeout / kRejectionTimeoutDivisor);
 }
 
-// Answers all complete messages. Returns false if the connection is to be closed.
+// Answers all complete messages. Returns false if the connection must be closed.
 transport::Task<bool> AdminSession::handleInput() {
   transport::InputBuffer& input = connection_.input();
   for (std::size_t lineEnd = input.view().find('\n'); lineEnd != std::string_view::npos;
@@ -78,10 +78,11 @@
     const std::string response = handleLine(line);
     input.consume(lineEnd + 1);
     lastMessageAt_ = scheduler_.now();
-    const bool isReading = connection_.unsentBytes() + response.size() <= options_.maxUnsentBytes;
-    if (!isReading) co_return false;
+    const bool fitsUnsentLimit = connection_.unsentBytes() + response.size() <= options_.maxUnsentBytes;
+    if (!fitsUnsentLimit) co_return false;
     connection_.send({BufferSlice(response)});
-    co_await scheduler_.yield();  // A client with many requests must not hold up the controller's own.
+    // Keeps a client with many messages from delaying the controller's requests.
+    co_await scheduler_.yield();
     if (connection_.readEnd() != transport::Connection::ReadEnd::none) co_return false;
   }
   if (!input.view().empty()) input.expectSize(input.view().size() * 2);
@@ -136,12 +137,13 @@
   const AddressLookup result = lifecycle_.setAddressOverride(
       request.engine, request.address, request.addressOverride, request.overrideDuration, peerName_);
   if (result == AddressLookup::unknownEngine)
-    return formatErrorReply(request.id, "no_engine",
-                            "engine: '" + request.engine.substr(0, kMaxQuotedEngineBytes) + "' is not known");
-  if (result == AddressLookup::unknownAddress)
     return formatErrorReply(
-        request.id, "no_address",
-        "address: '" + request.address.substr(0, kMaxQuotedAddressBytes) + "' is none of its addresses");
+        request.id, "no_engine",
+        "engine: unknown engine '" + request.engine.substr(0, kMaxQuotedEngineBytes) + "'");
+  if (result == AddressLookup::unknownAddress)
+    return formatErrorReply(request.id, "no_address",
+                            "address: '" + request.address.substr(0, kMaxQuotedAddressBytes) +
+                                "' is not an address of this engine");
   return formatOkReply(request.id);
 }
 
--- a/src/admin/admin_session.hpp
+++ b/src/admin/admin_session.hpp
@@ -13,20 +13,20 @@
 
 namespace paddletrack::admin {
 
-/// One client of the admin server: reads its requests, answers them and, if it watches, sends it progress.
-/// Idle time, the length of a message and unread responses are limited. All references must outlive the
-/// session.
+/// The connection of one admin client: reads and answers its requests and, if it watches, sends it progress
+/// events. Idle time, message length and the bytes of unread responses are limited. All references must
+/// outlive the session.
 class AdminSession {
  public:
-  /// `peerName` names the client in the log.
+  /// `peerName` identifies the client in the log.
   AdminSession(transport::Scheduler& scheduler, const AdminServerOptions& options,
                ServiceLifecycle& lifecycle, transport::OutputBudget& outputBudget,
                std::unique_ptr<transport::Descriptor> accepted, std::string peerName);
 
-  /// Serves the client until it leaves or breaks a limit.
+  /// Serves the client until it disconnects or exceeds a limit.
   transport::Task<> run();
 
-  /// Sends the status to a client that watches. A client that has too much unread misses this event.
+  /// Sends the status to a client that watches. Skips the event if the client has too many unread bytes.
   void sendProgress();
 
  private:
@@ -44,8 +44,8 @@
   ServiceLifecycle& lifecycle_;
   const std::string peerName_;
   transport::Connection connection_;
-  transport::TimePoint lastMessageAt_;     // The last complete message.
-  transport::TimePoint lastDrainedAt_;     // When the client last had nothing left to read.
+  transport::TimePoint lastMessageAt_;     // When the last complete message arrived.
+  transport::TimePoint lastDrainedAt_;     // When the client had last read everything sent to it.
   std::optional<Duration> watchInterval_;  // Set if the client watches.
   transport::TimePoint nextProgressAt_{};
 };
--- a/src/admin/config_keys.cpp
+++ b/src/admin/config_keys.cpp
@@ -17,15 +17,15 @@
 
 constexpr std::size_t kMaxPeers = 1024;
 constexpr std::size_t kMaxClusterNameBytes = 32;
-constexpr std::size_t kMaxQuotedBytes = 40;  // Of a wrong value in an error.
+constexpr std::size_t kMaxQuotedBytes = 40;  // Part of an invalid value that an error message quotes.
 constexpr std::size_t kKiB = std::size_t{1} << 10;
 constexpr std::size_t kMiB = std::size_t{1} << 20;
 constexpr std::size_t kPiB = std::size_t{1} << 50;
 
 std::string quote(const std::string& text) { return "\"" + text + "\""; }
 
-// ---- keys of plain durations, sizes and numbers ----------------------------------------------------------
-// `section` and `member` name the field of the configuration that the key sets.
+// ---- keys with plain durations, sizes and numbers --------------------------------------------------------
+// `section` and `member` identify the field of the configuration that the key sets.
 
 template <typename Section>
 ConfigKey durationKey(const char* block, const char* name, microseconds minValue, microseconds maxValue,
@@ -33,8 +33,8 @@
   const auto parse = [=](OperatorConfig& config, const hcl::Value& value) {
     const microseconds parsed = parseDuration(expectString(value));
     if (parsed < minValue || parsed > maxValue)
-      throw std::invalid_argument("from " + formatDuration(minValue) + " to " + formatDuration(maxValue) +
-                                  " is expected");
+      throw std::invalid_argument("must be from " + formatDuration(minValue) + " to " +
+                                  formatDuration(maxValue) + " inclusive");
     config.*section.*member = parsed;
   };
   const auto format = [=](const OperatorConfig& config) {
@@ -49,8 +49,8 @@
   const auto parse = [=](OperatorConfig& config, const hcl::Value& value) {
     const std::size_t parsed = parseByteSize(expectString(value));
     if (parsed < minValue || parsed > maxValue)
-      throw std::invalid_argument("from " + formatByteSize(minValue) + " to " + formatByteSize(maxValue) +
-                                  " is expected");
+      throw std::invalid_argument("must be from " + formatByteSize(minValue) + " to " +
+                                  formatByteSize(maxValue) + " inclusive");
     config.*section.*member = parsed;
   };
   const auto format = [=](const OperatorConfig& config) {
@@ -63,9 +63,9 @@
   const auto* number = std::get_if<double>(&value.value);
   if (!number || *number != std::floor(*number) || *number < static_cast<double>(minValue) ||
       *number > static_cast<double>(maxValue))
-    throw std::invalid_argument("a whole number from " + std::to_string(minValue) + " to " +
-                                std::to_string(maxValue) + " is expected" +
-                                (number ? "" : std::string(", not ") + value.kindName()));
+    throw std::invalid_argument("must be a whole number from " + std::to_string(minValue) + " to " +
+                                std::to_string(maxValue) + " inclusive" +
+                                (number ? "" : std::string("; found ") + value.kindName()));
   return static_cast<std::size_t>(*number);
 }
 
@@ -81,7 +81,7 @@
   return {block, name, parse, format};
 }
 
-// ---- keys with values of their own -----------------------------------------------------------------------
+// ---- keys with special values ---------------------------------------------------------------------------
 
 ConfigKey adminSocketKey() {
   const auto parse = [](OperatorConfig& config, const hcl::Value& value) {
@@ -94,7 +94,8 @@
 }
 
 std::vector<addresses::AddressFamily> parseFamilies(const hcl::Value& value) {
-  static const std::string kExpectation = "a list of \"unix\", \"ipv6\" and \"ipv4\", each once, is expected";
+  static const std::string kExpectation =
+      "must be a list of \"unix\", \"ipv6\" and \"ipv4\", each exactly once";
   static constexpr std::array<addresses::AddressFamily, addresses::kFamilyCount> kFamilies{
       addresses::AddressFamily::unixSocket, addresses::AddressFamily::ipv6, addresses::AddressFamily::ipv4};
   const auto* list = std::get_if<hcl::Value::List>(&value.value);
@@ -130,7 +131,8 @@
 const std::string& expectGossipAddress(const hcl::Value& value) {
   const std::string& text = expectString(value);
   if (transport::Address(text).family() != AF_INET)
-    throw std::invalid_argument("'" + text.substr(0, kMaxQuotedBytes) + "' is not an IPv4 address and port");
+    throw std::invalid_argument("expected an IPv4 address and port, found '" +
+                                text.substr(0, kMaxQuotedBytes) + "'");
   return text;
 }
 
@@ -145,12 +147,12 @@
 std::vector<std::string> parsePeers(const hcl::Value& value) {
   const auto* list = std::get_if<hcl::Value::List>(&value.value);
   if (!list || list->size() > kMaxPeers)
-    throw std::invalid_argument("a list of " + std::to_string(kMaxPeers) + " addresses at most is expected");
+    throw std::invalid_argument("must be a list of at most " + std::to_string(kMaxPeers) + " addresses");
   std::vector<std::string> peers;
   for (const hcl::Value& element : *list) {
     const std::string& peer = expectGossipAddress(element);
     if (std::find(peers.begin(), peers.end(), peer) != peers.end())
-      throw std::invalid_argument("'" + peer + "' stands twice");
+      throw std::invalid_argument("duplicate address '" + peer + "'");
     peers.push_back(peer);
   }
   return peers;
@@ -172,8 +174,8 @@
   const auto parse = [](OperatorConfig& config, const hcl::Value& value) {
     const std::string& name = expectString(value);
     if (name.empty() || name.size() > kMaxClusterNameBytes)
-      throw std::invalid_argument("a name of 1 to " + std::to_string(kMaxClusterNameBytes) +
-                                  " bytes is expected");
+      throw std::invalid_argument("must be a name of 1 to " + std::to_string(kMaxClusterNameBytes) +
+                                  " bytes");
     config.gossip.cluster = name;
   };
   const auto format = [](const OperatorConfig& config) { return quote(config.gossip.cluster); };
@@ -183,7 +185,7 @@
 ConfigKey logFormatKey() {
   const auto parse = [](OperatorConfig& config, const hcl::Value& value) {
     const std::string& format = expectString(value);
-    if (format != "text" && format != "json") throw std::invalid_argument("\"text\" or \"json\" is expected");
+    if (format != "text" && format != "json") throw std::invalid_argument("must be \"text\" or \"json\"");
     config.logFormat = format == "json" ? LogFormat::json : LogFormat::text;
   };
   const auto format = [](const OperatorConfig& config) {
@@ -204,7 +206,7 @@
 
 const std::string& expectString(const hcl::Value& value) {
   if (const auto* text = std::get_if<std::string>(&value.value)) return *text;
-  throw std::invalid_argument(std::string("a text is expected, not ") + value.kindName());
+  throw std::invalid_argument(std::string("expected a string, found ") + value.kindName());
 }
 
 const std::vector<ConfigKey>& configKeys() {
--- a/src/admin/config_keys.hpp
+++ b/src/admin/config_keys.hpp
@@ -10,22 +10,22 @@
 
 namespace paddletrack::admin {
 
-/// One key of the operator's file: how its value is read and how it is shown.
+/// One key of the operator's file, with the functions that read and format its value.
 struct ConfigKey {
   std::string block;
   std::string name;
-  /// Checks a value and stores it. Throws std::invalid_argument, which says what was expected.
+  /// Checks a value and stores it. Throws std::invalid_argument whose text says what was expected.
   std::function<void(OperatorConfig& config, const hcl::Value& value)> parse;
-  /// Shows the value in force as it would be written in the file.
+  /// Formats the effective value as it would be written in the file.
   std::function<std::string(const OperatorConfig& config)> format;
 
   std::string fullName() const { return block + "." + name; }
 };
 
-/// All keys, in the order of the reference. The keys of a block are adjacent.
+/// All keys, in the order of the reference documentation. The keys of a block are adjacent.
 const std::vector<ConfigKey>& configKeys();
 
-/// Returns the text of a value. Throws std::invalid_argument if it is of another kind.
+/// Returns the string that a value holds. Throws std::invalid_argument if the value has another type.
 const std::string& expectString(const hcl::Value& value);
 
 }  // namespace paddletrack::admin
--- a/src/admin/config_values.cpp
+++ b/src/admin/config_values.cpp
@@ -22,7 +22,7 @@
 constexpr std::array<Unit, 6> kSizeUnits{
     {{"", 1}, {"B", 1}, {"KiB", 1024}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"kB", 1000}}};
 constexpr double kMaxMagnitude = 1e15;
-constexpr std::size_t kMaxQuotedBytes = 40;  // Of a wrong value in an error.
+constexpr std::size_t kMaxQuotedBytes = 40;  // Part of an invalid value that an error message quotes.
 
 template <std::size_t UnitCount>
 double parseWithUnit(const std::string& text, const std::array<Unit, UnitCount>& units,
@@ -58,7 +58,7 @@
 
 microseconds parseDuration(const std::string& text) {
   const double value =
-      parseWithUnit(text, kTimeUnits, "a duration is expected, as in \"250ms\", \"20s\" or \"1.5m\"");
+      parseWithUnit(text, kTimeUnits, "expected a duration such as \"250ms\", \"20s\" or \"1.5m\"");
   return microseconds{std::llround(value)};
 }
 
@@ -71,8 +71,8 @@
 }
 
 std::size_t parseByteSize(const std::string& text) {
-  const double value = parseWithUnit(text, kSizeUnits, "a size is expected, as in \"16KiB\" or \"4MiB\"");
-  if (value < 0) throw std::invalid_argument("'" + text + "': a size is not negative");
+  const double value = parseWithUnit(text, kSizeUnits, "expected a size such as \"16KiB\" or \"4MiB\"");
+  if (value < 0) throw std::invalid_argument("'" + text + "': a size must not be negative");
   return static_cast<std::size_t>(std::llround(value));
 }
 
@@ -87,7 +87,7 @@
   for (const LogLevel level : {LogLevel::debug, LogLevel::info, LogLevel::warning, LogLevel::error})
     if (name == nameOf(level)) return level;
   throw std::invalid_argument("'" + name.substr(0, kMaxQuotedBytes) +
-                              "': \"debug\", \"info\", \"warning\" or \"error\" is expected");
+                              "': must be \"debug\", \"info\", \"warning\" or \"error\"");
 }
 
 const char* nameOf(LogLevel level) {
@@ -97,7 +97,7 @@
 
 std::string findClosestName(const std::string& name, const std::vector<std::string>& candidates) {
   std::string closest;
-  // A third of the letters may differ, and two of a short name.
+  // Up to a third of the characters may differ, and at least two in a short name.
   std::size_t minDistance = std::max<std::size_t>(2, name.size() / 3) + 1;
   for (const std::string& candidate : candidates) {
     const std::size_t distance = editDistance(name, candidate);
--- a/src/admin/engine_status.hpp
+++ b/src/admin/engine_status.hpp
@@ -9,7 +9,7 @@
 
 namespace paddletrack::admin {
 
-/// Reports the engines in the order of their ids, from `firstEngineId` on, at most `limit` of them.
+/// Returns the status of at most `limit` engines, ordered by id, starting at `firstEngineId`.
 std::vector<EngineStatus> listEngineStatuses(const routing::RequestRouter& router,
                                              const std::string& firstEngineId, std::size_t limit);
 
--- a/src/admin/operator_config.cpp
+++ b/src/admin/operator_config.cpp
@@ -13,7 +13,7 @@
 namespace paddletrack::admin {
 namespace {
 
-/// Turns the parsed text of an operator's file into a configuration.
+/// Converts the parsed operator's file into a configuration.
 class OperatorConfigParser {
  public:
   OperatorConfigParser(const hcl::Body& body, const std::string& path) : body_(body), path_(path) {
@@ -24,7 +24,7 @@
 
   OperatorConfig parse() {
     if (!body_.attributes.empty())
-      failUnknownName(body_.attributes.front().location, "key outside of blocks",
+      failUnknownName(body_.attributes.front().location, "key outside of any block",
                       body_.attributes.front().name, blockTypes_);
     for (const hcl::Block& block : body_.blocks) parseBlock(block);
     checkDrain();
@@ -49,10 +49,10 @@
                                     const std::string& name,
                                     const std::vector<std::string>& knownNames) const {
     const std::string closest = findClosestName(name, knownNames);
-    failAt(location, name, "no such " + kind + (closest.empty() ? "" : "; '" + closest + "' is meant?"));
+    failAt(location, name, "unknown " + kind + (closest.empty() ? "" : "; did you mean '" + closest + "'?"));
   }
 
-  /// Runs `read`, which reads one value, and adds the value's location and key to its errors.
+  /// Runs `read`, which parses one value, and adds the value's location and key to the errors it throws.
   template <typename Read>
   void readValue(hcl::SourceLocation location, const std::string& key, Read read) const {
     try {
@@ -67,11 +67,11 @@
   void parseBlock(const hcl::Block& block) {
     if (std::find(blockTypes_.begin(), blockTypes_.end(), block.type) == blockTypes_.end())
       failUnknownName(block.location, "block", block.type, blockTypes_);
-    if (!block.labels.empty()) failAt(block.location, block.type, "no label is expected");
+    if (!block.labels.empty()) failAt(block.location, block.type, "must not have a label");
     const auto [firstLine, isFirst] = blockLines_.emplace(block.type, block.location.line);
     if (!isFirst)
       failAt(block.location, block.type,
-             "it stands twice, first in line " + std::to_string(firstLine->second));
+             "duplicate block, first defined in line " + std::to_string(firstLine->second));
     for (const hcl::Block& innerBlock : block.body.blocks) parseInnerBlock(block, innerBlock);
     for (const hcl::Attribute& attribute : block.body.attributes) parseAttribute(block, attribute);
   }
@@ -89,13 +89,13 @@
 
   void parseTopicBlock(const hcl::Block& block) {
     if (block.labels.size() != 1)
-      failAt(block.location, "log.topic", "one label is expected, the topic, as in topic \"dial\" { ... }");
+      failAt(block.location, "log.topic", "expected one label, the topic, as in topic \"dial\" { ... }");
     const std::string& topic = block.labels.front();
     const std::string key = "log.topic." + topic;
-    if (config_.topicLevels.count(topic) > 0) failAt(block.location, key, "it stands twice");
+    if (config_.topicLevels.count(topic) > 0) failAt(block.location, key, "duplicate topic");
     if (!block.body.blocks.empty()) {
       const hcl::Block& innerBlock = block.body.blocks.front();
-      failUnknownName(innerBlock.location, "block here", innerBlock.type, {});
+      failUnknownName(innerBlock.location, "block in log.topic", innerBlock.type, {});
     }
     std::optional<LogLevel> level;
     for (const hcl::Attribute& attribute : block.body.attributes) {
@@ -108,7 +108,7 @@
       topicEntries_.push_back(
           {key + ".level", "\"" + std::string(nameOf(parsedLevel)) + "\"", formatOrigin(attribute.location)});
     }
-    if (!level) failAt(block.location, key, "its level is expected");
+    if (!level) failAt(block.location, key, "missing key 'level'");
     config_.topicLevels.emplace(topic, *level);
   }
 
@@ -142,14 +142,15 @@
   void checkDrain() const {
     if (config_.drain.defaultDeadline <= config_.drain.maxDeadline) return;
     failAt(locationOf(isSet("drain.deadline") ? "drain.deadline" : "drain.longest"), "drain.deadline",
-           "it is " + formatDuration(config_.drain.defaultDeadline) + ", drain.longest " +
-               formatDuration(config_.drain.maxDeadline));
+           "must not exceed drain.longest; found " + formatDuration(config_.drain.defaultDeadline) +
+               ", drain.longest is " + formatDuration(config_.drain.maxDeadline));
   }
 
   void checkGossip() const {
     if (!config_.gossip.listenAddress.empty()) return;
     for (const char* key : {"share.peers", "share.period", "share.cluster", "share.keep"})
-      if (isSet(key)) failAt(locationOf(key), key, "share.listen is expected where share has other keys");
+      if (isSet(key))
+        failAt(locationOf(key), key, "share.listen must be set when the share block has other keys");
   }
 
   void checkRebalance() const {
@@ -157,20 +158,21 @@
          {"rebalance.capacity", "rebalance.group", "rebalance.period", "rebalance.guard", "rebalance.lean"}) {
       if (!isSet(key)) continue;
       if (config_.gossip.listenAddress.empty())
-        failAt(locationOf(key), "share.listen", "it is expected where there is a block rebalance");
+        failAt(locationOf(key), "share.listen", "must be set when there is a rebalance block");
       if (config_.rebalance.engineCapacityBytes == 0)
-        failAt(locationOf(key), "rebalance.capacity", "it is expected where rebalance has other keys");
+        failAt(locationOf(key), "rebalance.capacity", "must be set when the rebalance block has other keys");
       if (config_.rebalance.guardDuration * 4 > config_.rebalance.interval)
-        failAt(locationOf(key), "rebalance.guard", "a fourth of rebalance.period at most is expected");
+        failAt(locationOf(key), "rebalance.guard", "must be at most a quarter of rebalance.period");
     }
   }
 
   void checkCounterfactual() const {
     if (config_.counterfactual.maxRecords == 0 && isSet("hindsight.window"))
-      failAt(locationOf("hindsight.window"), "hindsight.records", "it is expected where there is a window");
+      failAt(locationOf("hindsight.window"), "hindsight.records",
+             "must be greater than 0 when hindsight.window is set");
   }
 
-  // ---- the values in force -------------------------------------------------------------------------------
+  // ---- effective values ----------------------------------------------------------------------------------
 
   std::string formatOrigin(hcl::SourceLocation location) const {
     return path_ + ":" + std::to_string(location.line);
@@ -190,7 +192,7 @@
   OperatorConfig config_;
   std::vector<std::string> blockTypes_;
   std::map<std::string, std::size_t> blockLines_;  // Line of each block's first occurrence.
-  std::map<std::string, std::string> origins_;     // By full name of the key, where it was set.
+  std::map<std::string, std::string> origins_;     // Where each key was set, by its full name.
   std::map<std::string, hcl::SourceLocation> valueLocations_;
   std::vector<OperatorConfig::Entry> topicEntries_;
 };
@@ -208,7 +210,7 @@
   std::ostringstream text;
   if (PADDLETRACK_CALL(-1, "operators_file.open", "EMFILE ENOENT", 0) != 0 || !file ||
       !(text << file.rdbuf()))
-    throw FileReadError(path, "can't be read");
+    throw FileReadError(path, "cannot be read");
   try {
     return parseOperatorConfig(hcl::parse(text.str()), path);
   } catch (const hcl::ParseError& error) {
--- a/src/admin/operator_config.hpp
+++ b/src/admin/operator_config.hpp
@@ -1,4 +1,4 @@
-/// The operator's file (HCL): which optional parts of the controller are switched on, and how.
+/// The operator's file (HCL): enables and configures the optional parts of the controller.
 #pragma once
 
 #include <chrono>
@@ -16,27 +16,27 @@
 
 namespace paddletrack::admin {
 
-/// What is wrong in the file. The text is "FILE:LINE:COLUMN: KEY: what was expected", its context all but the
-/// last part.
+/// An error in the operator's file. The text is "FILE:LINE:COLUMN: KEY: what was expected"; its context is
+/// all but the last part.
 struct OperatorConfigError : ErrorOfKind<ErrorKind::invalidOperatorFile> {
   using ErrorOfKind::ErrorOfKind;
 };
 
 /// The admin server (block `door`).
 struct AdminServerOptions {
-  std::string socketPath;  // Empty: no admin server.
+  std::string socketPath;  // If empty, there is no admin server.
   std::size_t maxClients = 8;
-  std::size_t maxLineBytes = 16 * 1024;     // Of a message from a client.
-  std::size_t maxUnsentBytes = 256 * 1024;  // That one client may leave unread.
-  // For a client that completes no message, or that does not read.
+  std::size_t maxLineBytes = 16 * 1024;     // Maximum length of a message from a client.
+  std::size_t maxUnsentBytes = 256 * 1024;  // Maximum of unread response bytes per client.
+  // Closes the connection of a client that completes no message or does not read for this long.
   std::chrono::microseconds idleTimeout{std::chrono::seconds(10)};
   bool operator==(const AdminServerOptions&) const = default;
 };
 
-/// What is shared with the other controllers by gossip (block `share`, docs/share.md).
+/// Gossip with the other controllers (block `share`, docs/share.md).
 struct GossipOptions {
-  std::string listenAddress;       // IPv4 address and port. Empty: no gossip.
-  std::vector<std::string> peers;  // Addresses of the same form.
+  std::string listenAddress;       // IPv4 address and port. If empty, there is no gossip.
+  std::vector<std::string> peers;  // IPv4 addresses and ports.
   std::chrono::microseconds interval{std::chrono::milliseconds(200)};
   std::string cluster = "paddletrack";
   std::chrono::microseconds retentionDuration{std::chrono::minutes(10)};
@@ -45,29 +45,29 @@
 
 /// Placement of table groups on engines (block `rebalance`, docs/rebalance.md).
 struct RebalanceOptions {
-  std::size_t engineCapacityBytes = 0;            // Groups that an engine keeps warm. 0: no rebalancing.
-  std::size_t groupBytes = std::size_t{1} << 30;  // Size that a group is assumed to have.
+  std::size_t engineCapacityBytes = 0;            // Groups kept warm per engine. 0 disables rebalancing.
+  std::size_t groupBytes = std::size_t{1} << 30;  // Assumed size of a group.
   std::chrono::microseconds interval{std::chrono::seconds(20)};
   std::chrono::microseconds guardDuration{std::chrono::seconds(1)};
-  // Percentage of its score that an engine counts for requests whose group is placed on it.
+  // An engine's score counts by this percentage for requests whose group is placed on the engine.
   std::size_t placementBiasPercent = 50;
   bool operator==(const RebalanceOptions&) const = default;
 };
 
 /// Records of decisions for counterfactual reports (block `hindsight`, docs/hindsight.md).
 struct CounterfactualOptions {
-  std::size_t maxRecords = 0;  // 0: no records.
+  std::size_t maxRecords = 0;  // 0 disables recording.
   std::chrono::microseconds window{std::chrono::minutes(5)};
   bool operator==(const CounterfactualOptions&) const = default;
 };
 
 enum class LogFormat { text, json };
 
-/// All settings of the operator's file; keys that are absent have their defaults.
+/// All settings of the operator's file; absent keys have their default values.
 struct OperatorConfig {
   AdminServerOptions adminServer;
   drain::Options drain;
-  discovery::ReconnectOptions reconnect;  // Except `controllerCount`, which the node's configuration sets.
+  discovery::ReconnectOptions reconnect;  // Without `controllerCount`, which the node's configuration sets.
   std::vector<addresses::AddressFamily> familyPreference = addresses::ConnectOptions{}.familyPreference;
   GossipOptions gossip;
   RebalanceOptions rebalance;
@@ -76,17 +76,17 @@
   LogLevel logLevel = LogLevel::info;
   std::map<std::string, LogLevel> topicLevels;
 
-  /// A key with its value in force and where that was set: "FILE:LINE" or "default".
+  /// A key with its effective value and the place where it was set: "FILE:LINE" or "default".
   struct Entry {
     std::string key, value, origin;
   };
-  std::vector<Entry> entries;  // All keys, in the order of the reference.
+  std::vector<Entry> entries;  // All keys, in the order of the reference documentation.
 };
 
 OperatorConfig defaultOperatorConfig();
 /// Reads and checks a file. Throws FileReadError or OperatorConfigError.
 OperatorConfig readOperatorConfig(const std::string& path);
-/// Checks a parsed file; `path` is for errors and origins. Throws OperatorConfigError.
+/// Checks a parsed file; `path` appears in errors and origins. Throws OperatorConfigError.
 OperatorConfig parseOperatorConfig(const hcl::Body& body, const std::string& path);
 
 }  // namespace paddletrack::admin
--- a/src/admin/service_lifecycle.cpp
+++ b/src/admin/service_lifecycle.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kRejectedIndex = 2;
 constexpr std::size_t kFailedIndex = 3;
 
-constexpr int kMaxAdvanceRounds = 2;  // The second one follows the end of all requests.
+constexpr int kMaxAdvanceRounds = 2;  // The second round follows the end of all requests.
 constexpr Duration kMinAdvanceDelay{std::chrono::milliseconds(1)};
 
 std::int64_t toMilliseconds(Duration duration) {
@@ -63,7 +63,7 @@
   const drain::DrainProgress& progress = *drain_.progress();
   const std::int64_t remainingMs = toMilliseconds(progress.deadline - router_.now());
   log_.info("drain",
-            "drain " + std::to_string(progress.number) + " asked by " + requestedBy + ", deadline in " +
+            "drain " + std::to_string(progress.number) + " requested by " + requestedBy + ", deadline in " +
                 std::to_string(remainingMs) + " ms",
             {{"drain", std::to_string(progress.number)},
              {"by", requestedBy},
@@ -92,8 +92,8 @@
   drain_.onTerminate(router_.now(), maxRequestTimeout);
   const Duration responseDeadline = *drain_.responseDeadline();
   const std::int64_t remainingMs = toMilliseconds(responseDeadline - router_.now());
-  log_.info("leaving", std::to_string(router_.openRequestCount()) + " requests open, " +
-                           std::to_string(remainingMs) + " ms at most");
+  log_.info("leaving", std::to_string(router_.openRequestCount()) + " requests open, exiting within " +
+                           std::to_string(remainingMs) + " ms");
   router_.setFinalDeadline(responseDeadline);
   advanceDrain();
 }
@@ -102,7 +102,7 @@
   const drain::State previousState = drain_.state();
   const bool isHealthy = drain_.onHeartbeat(router_.now());
   if (drain_.state() != previousState) onStateChanged(previousState);
-  // The time in this state runs from the first unhealthy heartbeat.
+  // The time in this state starts with the first unhealthy heartbeat response.
   if (previousState == drain::State::leaving) advanceDrain();
   return isHealthy;
 }
@@ -149,9 +149,9 @@
   const drain::DrainProgress* progress = drain_.progress();
   std::string message = std::string(nameOf(previousState)) + " -> " + nameOf(drain_.state());
   if (drain_.state() == drain::State::drained)
-    message += progress->deadlineMissed ? ", its deadline missed" : ", in time";
+    message += progress->deadlineMissed ? ", deadline missed" : ", deadline met";
   if (drain_.state() == drain::State::ending && progress->deadlineMissed)
-    message += ", " + std::to_string(progress->requestsEndedByDeadline) + " jobs are ended by the deadline";
+    message += ", " + std::to_string(progress->requestsEndedByDeadline) + " requests ended by the deadline";
   log_.info("drain", message,
             {{"drain", std::to_string(progress ? progress->number : 0)}, {"state", nameOf(drain_.state())}});
   if (stateListener_) stateListener_();
@@ -174,7 +174,7 @@
   if (counterfactualSource_) status.counterfactual = counterfactualSource_();
   if (const drain::DrainProgress* progress = drain_.progress()) {
     const DrainStatus& latestDrain = status.drain.emplace(drainStatus(*progress, now));
-    // The deadline of a drain ends all requests that are open then.
+    // The deadline of a drain ends all requests that are still open.
     if (status.expectedCompletion && drain_.isDraining())
       status.expectedCompletion->remaining =
           std::min(status.expectedCompletion->remaining, std::max(latestDrain.deadlineIn, Duration{0}));
@@ -248,7 +248,7 @@
   const routing::RequestRouter::AddressLookup result =
       router_.setAddressOverride(engine, address, addressOverride, overrideDuration);
   if (result == routing::RequestRouter::AddressLookup::found)
-    log_.info("address", "executor " + engine + " at " + address + ": set by hand, by " + requestedBy,
+    log_.info("address", "engine " + engine + " at " + address + ": override changed by " + requestedBy,
               {{"engine", engine}, {"address", address}, {"by", requestedBy}});
   return result;
 }
--- a/src/admin/service_lifecycle.hpp
+++ b/src/admin/service_lifecycle.hpp
@@ -15,12 +15,12 @@
 
 namespace paddletrack::admin {
 
-/// Takes a controller out of service and brings it back: carries the decisions of the drain state machine to
-/// the client listener and the request router, and reports the open work of these to the state machine.
+/// Takes a controller out of service and returns it to service: applies the decisions of the drain state
+/// machine to the client listener and the request router, and reports their open work to the state machine.
 class ServiceLifecycle final : public routing::ServiceGate {
  public:
-  /// Registers itself as the client listener's gate. All references must outlive the object. `exit` is called
-  /// when the process may end after onTerminate().
+  /// Registers itself as the service gate of the client listener. All references must outlive the object.
+  /// `exit` is called when the process may end after onTerminate().
   ServiceLifecycle(transport::Scheduler& scheduler, routing::RequestRouter& router,
                    routing::ClientListener& clientListener, std::string name, const drain::Options& options,
                    const Logger& log, std::function<void()> exit);
@@ -28,34 +28,35 @@
   ServiceLifecycle& operator=(const ServiceLifecycle&) = delete;
   ~ServiceLifecycle() override;
 
-  /// Starts a drain, or changes the deadline and the retry time of one that is under way. Both are spans from
-  /// now; the configured values stand in for absent ones. `requestedBy` is for the log.
+  /// Starts a drain, or changes the deadline and the Retry-After time of the current one. Both are durations
+  /// from now; std::nullopt selects the configured value. `requestedBy` appears in the log.
   drain::DrainError requestDrain(std::optional<Duration> deadline, std::optional<Duration> retryAfter,
                                  const std::string& requestedBy);
-  /// Brings the controller back into service.
+  /// Cancels the drain and returns the controller to service.
   drain::DrainError cancelDrain(const std::string& requestedBy);
-  /// SIGTERM: the process ends as soon as nothing is open, or at the latest at the final deadline.
+  /// Handles SIGTERM: the process ends as soon as no work is open, or at the final deadline at the latest.
   void onTerminate();
 
-  /// Options of drains that are requested from now on.
+  /// Sets the options of drains that are requested from now on.
   void setDrainOptions(const drain::Options& options) { drain_.setOptions(options); }
   const drain::Options& drainOptions() const { return drain_.options(); }
-  /// The order in which address families are tried from now on.
+  /// Sets the order in which address families are tried from now on.
   void setFamilyPreference(std::vector<addresses::AddressFamily> families) {
     router_.setFamilyPreference(std::move(families));
   }
 
   ControllerStatus status() const;
   drain::State state() const { return drain_.state(); }
-  /// Engines in the order of their ids, from `firstEngineId` on, at most `limit` of them.
+  /// Returns the engines in the order of their ids, from `firstEngineId` on, at most `limit` of them.
   std::vector<EngineStatus> listEngines(const std::string& firstEngineId, std::size_t limit) const;
-  /// Avoids or prefers an address of an engine for `overrideDuration`, and logs who requested it.
+  /// Avoids or prefers an address of an engine for `overrideDuration`, or clears such an override. Logs
+  /// `requestedBy`.
   routing::RequestRouter::AddressLookup setAddressOverride(
       const std::string& engine, const std::string& address,
       addresses::AddressTable::ManualOverride addressOverride, Duration overrideDuration,
       const std::string& requestedBy);
 
-  /// Each source reports the status of a part that can be switched off; without one the part is absent.
+  /// Each source reports the status of an optional part; without a source the part is absent from status().
   void setGossipSource(std::function<GossipStatus()> source) { gossipSource_ = std::move(source); }
   void setCounterfactualSource(std::function<CounterfactualStatus()> source) {
     counterfactualSource_ = std::move(source);
@@ -63,9 +64,9 @@
   void setEndpointListSource(std::function<routing::EndpointWatcher::Status()> source) {
     endpointListSource_ = std::move(source);
   }
-  /// Called after each change of the state.
+  /// Sets the function that is called after each change of the drain state.
   void setStateListener(std::function<void()> listener) { stateListener_ = std::move(listener); }
-  /// Records the latency of responses from now on, for the estimate of when the open requests are completed.
+  /// Records the latency of responses from now on, to estimate when the open requests will be completed.
   void enableCompletionEstimates();
 
  private:
--- a/src/admin/socket_file.cpp
+++ b/src/admin/socket_file.cpp
@@ -27,7 +27,7 @@
   throw SystemErrorOfKind<ErrorKind::adminSocketFailed>("door.socket: " + path, what, errno);
 }
 
-// Closes its descriptor at the end of the scope.
+// Owns a file descriptor and closes it at the end of the scope.
 class FileDescriptor {
  public:
   explicit FileDescriptor(int fd) : fd_(fd) {}
@@ -43,8 +43,8 @@
   int fd_;
 };
 
-// Whether a process listens at the address. Any error but a refused connection, such as a full backlog,
-// counts as a listening process.
+// Returns whether a process listens at the address. Any error other than a refused connection, such as a full
+// backlog, counts as a listening process.
 bool isListening(const transport::Address& address) {
   const FileDescriptor probe(PADDLETRACK_CALL(
       -1, "socket_file.probe", "EMFILE", ::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)));
@@ -66,44 +66,46 @@
 
 void lockDirectory(const FileDescriptor& directory, const std::string& path) {
   while (PADDLETRACK_CALL(-1, "socket_file.lock", "EINTR ENOMEM", ::flock(directory.get(), LOCK_EX)) != 0)
-    if (errno != EINTR) throwSystemError(path, "its folder");
+    if (errno != EINTR) throwSystemError(path, "cannot lock its directory");
 }
 
 }  // namespace
 
 SocketFile::SocketFile(const std::string& path) : path_(path) {
-  const transport::Address address("unix:" +
-                                   path);  // Throws before anything is touched if the path is wrong.
-  // The lock keeps two processes that start at once from taking each other's new socket for a dead one.
+  // Throws if the path is invalid, before any file is changed.
+  const transport::Address address("unix:" + path);
+  // Without the lock, two processes that start at the same time could mistake each other's new socket, which
+  // does not listen yet, for a dead one and remove it.
   const FileDescriptor directory(openDirectory(path));
-  if (directory.get() < 0) throwSystemError(path, "its folder");
+  if (directory.get() < 0) throwSystemError(path, "cannot open its directory");
   lockDirectory(directory, path);
   removeDeadSocket(address);
-  FileDescriptor listening(openBoundSocket(address));
+  FileDescriptor listeningSocket(openBoundSocket(address));
   struct stat fileStatus {};
   if (PADDLETRACK_CALL(-1, "socket_file.look_again", "EACCES", ::lstat(path.c_str(), &fileStatus)) != 0 ||
-      PADDLETRACK_CALL(-1, "socket_file.listen", "EADDRINUSE", ::listen(listening.get(), kBacklog)) != 0) {
+      PADDLETRACK_CALL(-1, "socket_file.listen", "EADDRINUSE", ::listen(listeningSocket.get(), kBacklog)) !=
+          0) {
     const int listenErrno = errno;
     ::unlink(path.c_str());
     errno = listenErrno;
-    throwSystemError(path, "can't be listened at");
+    throwSystemError(path, "cannot listen on the socket");
   }
   device_ = fileStatus.st_dev;
   inode_ = fileStatus.st_ino;
-  fd_ = listening.release();
+  fd_ = listeningSocket.release();
 }
 
 void SocketFile::removeDeadSocket(const transport::Address& address) const {
   struct stat fileStatus {};
   if (PADDLETRACK_CALL(-1, "socket_file.look", "EACCES", ::lstat(path_.c_str(), &fileStatus)) != 0) {
-    if (errno != ENOENT) throwSystemError(path_, "can't be looked at");
+    if (errno != ENOENT) throwSystemError(path_, "cannot read the status of the file");
     return;
   }
   if (!S_ISSOCK(fileStatus.st_mode))
-    throwSocketError(path_, "something that is no socket stands there; it is left as it is");
-  if (isListening(address)) throwSocketError(path_, "another process listens there");
+    throwSocketError(path_, "the existing file is not a socket and was left unchanged");
+  if (isListening(address)) throwSocketError(path_, "another process is listening on this socket");
   if (PADDLETRACK_CALL(-1, "socket_file.take_over", "EACCES", ::unlink(path_.c_str())) != 0)
-    throwSystemError(path_, "the dead socket there can't be removed");
+    throwSystemError(path_, "cannot remove the dead socket");
 }
 
 int SocketFile::openBoundSocket(const transport::Address& address) const {
@@ -116,7 +118,7 @@
   const int bindErrno = errno;
   ::umask(previousMask);
   errno = bindErrno;
-  if (!isBound) throwSystemError(path_, "can't be made");
+  if (!isBound) throwSystemError(path_, "cannot create the socket");
   return socket.release();
 }
 
--- a/src/admin/socket_file.hpp
+++ b/src/admin/socket_file.hpp
@@ -8,17 +8,17 @@
 
 namespace paddletrack::admin {
 
-/// The file of a listening Unix socket. It is created with mode 0600, replaces the file of a dead process but
-/// not that of a live one, and is removed by the destructor if it is still the same file.
+/// The file of a listening Unix socket. The constructor creates it with mode 0600; it replaces the socket of
+/// a dead process, but not that of a live one. The destructor removes the file if it is still the same file.
 class SocketFile {
  public:
-  /// Throws an Error (adminSocketFailed) with the path and the cause.
+  /// Throws an Error (adminSocketFailed) that states the path and the cause.
   explicit SocketFile(const std::string& path);
   SocketFile(const SocketFile&) = delete;
   SocketFile& operator=(const SocketFile&) = delete;
   ~SocketFile();
 
-  /// Passes the ownership of the listening descriptor to the caller.
+  /// Transfers ownership of the listening descriptor to the caller.
   int release();
 
  private:
--- a/src/admin/status.hpp
+++ b/src/admin/status.hpp
@@ -1,4 +1,4 @@
-/// What the admin server reports of a controller: one type for each part, filled by that part.
+/// The status of a controller that the admin server reports: one type for each part, filled by that part.
 #pragma once
 
 #include <cstddef>
@@ -16,26 +16,26 @@
 
 namespace paddletrack::admin {
 
-/// Requests without a final response, and what belongs to them.
+/// Requests without a final response, with their attempts, unsent bytes and connections.
 struct OpenWorkStatus {
   std::size_t requests = 0;
   std::size_t attempts = 0;
   std::size_t unsentBytes = 0;
   std::size_t connections = 0;
   std::vector<std::pair<std::string, std::size_t>> requestsByClass;
-  Duration maxRemaining{0};  // Until the last open request has timed out.
+  Duration maxRemaining{0};  // Until the last open request times out.
 };
 
 /// Final outcomes of requests, since the start of the process or of a drain.
 struct RequestTotals {
-  std::uint64_t abandoned = 0;  // The client left before the response.
+  std::uint64_t abandoned = 0;  // The client disconnected before the response.
   std::uint64_t completed = 0;
   std::uint64_t rejected = 0;
   std::uint64_t failed = 0;
-  std::uint64_t rejectedByDrain = 0;  // Rejected by the drain itself and never accepted.
+  std::uint64_t rejectedByDrain = 0;  // Rejected because of a drain; never accepted.
 };
 
-/// The latest drain, also when it is over.
+/// The latest drain, including one that has ended.
 struct DrainStatus {
   std::uint64_t number = 0;
   Duration requestedAgo{0};
@@ -50,7 +50,7 @@
   RequestTotals totals;  // Since the drain was requested.
 };
 
-/// Load of an engine or of the fleet, as the controllers publish it.
+/// Load of an engine or of the whole fleet, as published by the controllers.
 struct LoadStatus {
   std::uint64_t threads = 0;
   std::uint64_t requests = 0;
@@ -59,11 +59,11 @@
 /// A controller that this one exchanges gossip with.
 struct GossipPeerStatus {
   std::string address;
-  std::string controllerName;  // Empty until a message has come from it.
+  std::string controllerName;  // Empty until a message from it has arrived.
   std::optional<Duration> lastMessageAgo;
 };
 
-/// What the controllers share by gossip.
+/// The state of gossip with the other controllers.
 struct GossipStatus {
   static constexpr std::size_t kMaxPeers = 64;
   static constexpr std::size_t kMaxEngines = 1024;
@@ -71,7 +71,7 @@
   std::string cluster;
   std::string controllerName;
   std::uint64_t incarnation = 0;
-  std::uint64_t laterIncarnations = 0;  // Later ones that were met under this controller's name.
+  std::uint64_t laterIncarnations = 0;  // Later incarnations seen under this controller's name.
   std::size_t knownControllers = 0;
   std::size_t entries = 0;
   std::size_t bytes = 0;
@@ -85,12 +85,12 @@
   std::uint64_t bytesSent = 0;
   std::vector<std::pair<const char*, std::uint64_t>> droppedByReason;
   std::size_t reportingControllers = 0;  // Controllers that publish their load.
-  std::size_t liveControllers = 0;       // Those of them that published it lately.
+  std::size_t liveControllers = 0;       // Reporting controllers that published their load recently.
   LoadStatus totalLoad;
   std::vector<std::pair<std::string, LoadStatus>> engineLoads;  // The first kMaxEngines by name.
 };
 
-/// The evaluation of past decisions: of this controller and, with gossip, of the fleet.
+/// The counterfactual evaluation of past decisions: of this controller and, with gossip, of the fleet.
 struct CounterfactualStatus {
   Duration window{0};
   std::size_t maxRecords = 0;
@@ -102,7 +102,7 @@
   std::optional<counterfactual::CounterfactualReport> fleet;
 };
 
-/// A controller at one instant. Parts that are switched off are absent.
+/// The status of a controller at one instant. Disabled parts are std::nullopt.
 struct ControllerStatus {
   std::string name;
   std::uint64_t processId = 0;
@@ -119,7 +119,7 @@
   std::optional<CounterfactualStatus> counterfactual;
 };
 
-/// An address of an engine and the health that was observed of it.
+/// An address of an engine and its observed health.
 struct AddressStatus {
   std::string name;
   std::string family;
--- a/src/admin/status_json.hpp
+++ b/src/admin/status_json.hpp
@@ -6,7 +6,8 @@
 
 namespace paddletrack::admin {
 
-/// The JSON form of the status in the admin protocol. The keys are part of the protocol and do not change.
+/// Convert the status to the JSON of the admin protocol. The keys are part of the protocol and must not
+/// change.
 nlohmann::ordered_json toJson(const ControllerStatus& status);
 nlohmann::ordered_json toJson(const EngineStatus& status);
 
--- a/src/hcl/parser.cpp
+++ b/src/hcl/parser.cpp
@@ -19,7 +19,7 @@
   const auto byte = static_cast<unsigned char>(character);
   if (byte >= 0x20 && byte < 0x7f) return std::string("'") + character + "'";
   static constexpr char kHex[] = "0123456789abcdef";
-  return std::string("the byte 0x") + kHex[byte >> 4] + kHex[byte & 15];
+  return std::string("byte 0x") + kHex[byte >> 4] + kHex[byte & 15];
 }
 
 class Parser {
@@ -43,7 +43,7 @@
   SourceLocation currentLocation() const { return {line_, position_ - lineStart_ + 1}; }
   void advance(std::size_t count = 1) {
     for (; count > 0 && !isAtEnd(); --count) {
-      if (text_[position_] == '\0') throw ParseError(currentLocation(), "a zero byte");
+      if (text_[position_] == '\0') throw ParseError(currentLocation(), "unexpected null byte");
       const bool isLineEnd = text_[position_] == '\n';
       ++position_;
       if (isLineEnd) {
@@ -53,7 +53,7 @@
     }
   }
 
-  // Skips blanks and comments, and with `skipsLineEnds` line ends too.
+  // Skips blanks and comments, and also line ends if `skipsLineEnds` is set.
   void skipBlanks(bool skipsLineEnds) {
     for (;;) {
       if (peek() == ' ' || peek() == '\t' || (peek() == '\r' && peek(1) == '\n')) {
@@ -65,7 +65,7 @@
       } else if (isNext("/*")) {
         const SourceLocation begin = currentLocation();
         const std::size_t end = text_.find("*/", position_ + 2);
-        if (end == std::string_view::npos) throw ParseError(begin, "a comment that does not end");
+        if (end == std::string_view::npos) throw ParseError(begin, "unterminated comment");
         advance(end + 2 - position_);
       } else {
         return;
@@ -77,15 +77,15 @@
     skipBlanks(false);
     if (isAtEnd()) return;
     if (peek() != '\n')
-      throw ParseError(currentLocation(), std::string("after ") + precedingItem +
-                                              " the line must end, not go on with " + describeChar(peek()));
+      throw ParseError(currentLocation(), std::string("expected the end of the line after ") + precedingItem +
+                                              ", found " + describeChar(peek()));
     advance();
   }
 
   std::string parseIdentifier() {
     if (!isLetter(peek()))
-      throw ParseError(currentLocation(),
-                       "a name is expected, not " + (isAtEnd() ? "the end" : describeChar(peek())));
+      throw ParseError(currentLocation(), "expected a name, found " +
+                                              (isAtEnd() ? "the end of the file" : describeChar(peek())));
     const std::size_t begin = position_;
     while (isIdentifierChar(peek())) advance();
     return std::string(text_.substr(begin, position_ - begin));
@@ -93,15 +93,16 @@
 
   // ---- structure ---------------------------------------------------------------------------------------
 
-  // Parses up to the end of the text, or with `isBlock` up to the closing brace.
+  // Parses up to the end of the text, or up to the closing brace if `isBlock` is set.
   Body parseBody(int depth, bool isBlock) {
     if (depth > kMaxNesting)
-      throw ParseError(currentLocation(), "nested deeper than " + std::to_string(kMaxNesting));
+      throw ParseError(currentLocation(),
+                       "nesting exceeds the maximum depth of " + std::to_string(kMaxNesting));
     Body body;
     for (;;) {
       skipBlanks(true);
       if (isAtEnd()) {
-        if (isBlock) throw ParseError(currentLocation(), "'}' is expected, not the end");
+        if (isBlock) throw ParseError(currentLocation(), "expected '}', found the end of the file");
         return body;
       }
       if (isBlock && peek() == '}') return body;
@@ -117,15 +118,14 @@
       advance();
       for (const Attribute& attribute : body.attributes)
         if (attribute.name == key)
-          throw ParseError(location, "'" + key + "' is set twice, first in line " +
+          throw ParseError(location, "duplicate key '" + key + "', first defined in line " +
                                          std::to_string(attribute.location.line));
       skipBlanks(false);
       body.attributes.push_back({std::move(key), location, parseValue(depth)});
       if (!isOneLine) expectLineEnd("a value");
       return;
     }
-    if (isOneLine)
-      throw ParseError(currentLocation(), "'=' is expected: a block of one line holds one attribute");
+    if (isOneLine) throw ParseError(currentLocation(), "expected '='; a one-line block holds one attribute");
     Block block{std::move(key), location, {}, {}};
     while (peek() != '{') {
       if (peek() == '"') {
@@ -133,7 +133,7 @@
       } else if (isLetter(peek())) {
         block.labels.push_back(parseIdentifier());
       } else {
-        throw ParseError(currentLocation(), "'=', '{' or a label is expected after '" + block.type + "'");
+        throw ParseError(currentLocation(), "expected '=', '{' or a label after '" + block.type + "'");
       }
       skipBlanks(false);
     }
@@ -143,11 +143,12 @@
       block.body = parseBody(depth + 1, true);
     } else if (peek() != '}') {
       if (depth + 1 > kMaxNesting)
-        throw ParseError(currentLocation(), "nested deeper than " + std::to_string(kMaxNesting));
+        throw ParseError(currentLocation(),
+                         "nesting exceeds the maximum depth of " + std::to_string(kMaxNesting));
       parseItem(block.body, depth + 1, true);
       skipBlanks(false);
     }
-    if (peek() != '}') throw ParseError(currentLocation(), "'}' is expected");
+    if (peek() != '}') throw ParseError(currentLocation(), "expected '}'");
     advance();
     expectLineEnd("a block");
     body.blocks.push_back(std::move(block));
@@ -157,11 +158,12 @@
 
   Value parseValue(int depth) {
     if (depth > kMaxNesting)
-      throw ParseError(currentLocation(), "nested deeper than " + std::to_string(kMaxNesting));
+      throw ParseError(currentLocation(),
+                       "nesting exceeds the maximum depth of " + std::to_string(kMaxNesting));
     Value result;
     result.location = currentLocation();
     const char first = peek();
-    if (isAtEnd() || first == '\n') throw ParseError(currentLocation(), "a value is expected");
+    if (isAtEnd() || first == '\n') throw ParseError(currentLocation(), "expected a value");
     if (first == '"') {
       result.value = parseString();
     } else if (isNext("<<")) {
@@ -178,21 +180,21 @@
         result.value = word == "true";
       } else if (word != "null") {
         skipBlanks(false);
-        throw ParseError(result.location, peek() == '(' ? "functions are not read: '" + word + "(...)'"
-                                                        : "expressions are not read: '" + word +
-                                                              "'; a text stands between quotes");
+        throw ParseError(result.location, peek() == '(' ? "functions are not supported: '" + word + "(...)'"
+                                                        : "expressions are not supported: '" + word +
+                                                              "'; a string must be quoted");
       }
     } else if (first == '(' || first == '!' || first == '-') {
-      throw ParseError(result.location, std::string("expressions are not read: '") + first + "'");
+      throw ParseError(result.location, std::string("expressions are not supported: '") + first + "'");
     } else {
-      throw ParseError(result.location, "a value is expected, not " + describeChar(first));
+      throw ParseError(result.location, "expected a value, found " + describeChar(first));
     }
-    // An operator after a value makes an expression: 1 + 2, a ? b : c, a.b, a[0].
+    // An operator after a value makes it an expression: 1 + 2, a ? b : c, a.b, a[0].
     skipBlanks(false);
     static constexpr std::string_view kOperators = "+-*/%<>=!&|?.[(";
     if (!isAtEnd() && kOperators.find(peek()) != std::string_view::npos)
       throw ParseError(currentLocation(),
-                       std::string("expressions are not read: '") + peek() + "' after a value");
+                       std::string("expressions are not supported: '") + peek() + "' after a value");
     return result;
   }
 
@@ -207,18 +209,17 @@
     if (peek() == 'e' || peek() == 'E') {
       advance();
       if (peek() == '+' || peek() == '-') advance();
-      if (!isDigit(peek())) throw ParseError(currentLocation(), "digits are expected in the exponent");
+      if (!isDigit(peek())) throw ParseError(currentLocation(), "expected digits in the exponent");
       while (isDigit(peek())) advance();
     }
     if (isLetter(peek()))
-      throw ParseError(result.location,
-                       "a number with a unit stands between quotes, as in \"20s\" or \"4MiB\"");
+      throw ParseError(result.location, "a number with a unit must be quoted, as in \"20s\" or \"4MiB\"");
     result.sourceText = std::string(text_.substr(begin, position_ - begin));
     double parsed = 0;
     const auto [end, error] = std::from_chars(result.sourceText.data(),
                                               result.sourceText.data() + result.sourceText.size(), parsed);
     if (error != std::errc{} || !std::isfinite(parsed))
-      throw ParseError(result.location, "a number out of range");
+      throw ParseError(result.location, "number out of range");
     result.value = parsed;
   }
 
@@ -227,22 +228,24 @@
     const std::string_view text = text_.substr(position_, digits);
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), code, 16);
     if (text.size() < digits || error != std::errc{} || end != text.data() + digits)
-      throw ParseError(location, std::to_string(digits) + " hex digits are expected in an escape");
+      throw ParseError(location,
+                       std::to_string(digits) + " hexadecimal digits are required in this escape sequence");
     if (code > 0x10ffff || (code >= 0xd800 && code < 0xe000) || code == 0)
-      throw ParseError(location, "an escape that is no character");
+      throw ParseError(location, "escape sequence is not a valid Unicode character");
     advance(digits);
     return code;
   }
 
-  // "$${" and "%%{" are escapes of "${" and "%{", which begin a template.
+  // "$${" and "%%{" are escapes for "${" and "%{", which start a template. Returns whether it parsed one.
   bool parseTemplateEscape(std::string& output) {
-    for (const char mark : {'$', '%'}) {
-      if (peek() != mark) continue;
+    for (const char introducer : {'$', '%'}) {
+      if (peek() != introducer) continue;
       if (peek(1) == '{')
-        throw ParseError(currentLocation(), std::string("templates are not read: '") + mark + "{'; write '" +
-                                                mark + mark + "{' for the text itself");
-      if (peek(1) != mark || peek(2) != '{') continue;
-      output += mark;
+        throw ParseError(currentLocation(), std::string("templates are not supported: '") + introducer +
+                                                "{'; write '" + introducer + introducer +
+                                                "{' for the literal text");
+      if (peek(1) != introducer || peek(2) != '{') continue;
+      output += introducer;
       output += '{';
       advance(3);
       return true;
@@ -255,7 +258,8 @@
     std::string result;
     advance();
     for (;;) {
-      if (isAtEnd() || peek() == '\n') throw ParseError(begin, "a text that does not end in its line");
+      if (isAtEnd() || peek() == '\n')
+        throw ParseError(begin, "unterminated string; a string must end on the same line");
       if (peek() == '"') break;
       if (parseTemplateEscape(result)) continue;
       if (peek() != '\\') {
@@ -271,7 +275,8 @@
       const auto simpleEscape = std::find_if(kSimpleEscapes.begin(), kSimpleEscapes.end(),
                                              [&](auto item) { return item.first == kind; });
       if (simpleEscape == kSimpleEscapes.end() && kind != 'u' && kind != 'U')
-        throw ParseError(escape, "an escape is one of \\n \\r \\t \\\" \\\\ \\uNNNN \\UNNNNNNNN");
+        throw ParseError(
+            escape, "unknown escape sequence; expected one of \\n \\r \\t \\\" \\\\ \\uNNNN \\UNNNNNNNN");
       advance();
       if (simpleEscape != kSimpleEscapes.end()) {
         result += simpleEscape->second;
@@ -283,7 +288,7 @@
     return result;
   }
 
-  // Parses <<END, or <<-END without the common indent, up to a line that has only END.
+  // Parses a heredoc, <<END or <<-END, up to a line that contains only END. <<-END removes the common indent.
   std::string parseHeredoc() {
     const SourceLocation begin = currentLocation();
     advance(2);
@@ -291,11 +296,14 @@
     if (stripsIndent) advance();
     const std::string terminator = parseIdentifier();
     if (peek() == '\r') advance();
-    if (peek() != '\n') throw ParseError(currentLocation(), "after <<" + terminator + " the line must end");
+    if (peek() != '\n')
+      throw ParseError(currentLocation(),
+                       "unexpected text after <<" + terminator + "; the line must end there");
     advance();
     std::vector<std::string> lines;
     for (;;) {
-      if (isAtEnd()) throw ParseError(begin, "a text without its closing line '" + terminator + "'");
+      if (isAtEnd())
+        throw ParseError(begin, "unterminated heredoc; missing closing line '" + terminator + "'");
       std::string line;
       while (!isAtEnd() && peek() != '\n')
         if (!parseTemplateEscape(line)) {
@@ -304,7 +312,8 @@
         }
       if (!line.empty() && line.back() == '\r') line.pop_back();
       const std::size_t indent = std::min(line.find_first_not_of(" \t"), line.size());
-      if (std::string_view(line).substr(indent) == terminator) break;  // The attribute ends with the line.
+      if (std::string_view(line).substr(indent) == terminator)
+        break;  // The caller parses the end of the line, which ends the attribute.
       lines.push_back(std::move(line));
       advance();
     }
@@ -324,14 +333,14 @@
     for (;;) {
       skipBlanks(true);
       if (peek() == ']') break;
-      if (isAtEnd()) throw ParseError(currentLocation(), "']' is expected, not the end");
-      if (isNext("for ")) throw ParseError(currentLocation(), "expressions are not read: 'for'");
+      if (isAtEnd()) throw ParseError(currentLocation(), "expected ']', found the end of the file");
+      if (isNext("for ")) throw ParseError(currentLocation(), "expressions are not supported: 'for'");
       values.push_back(parseValue(depth + 1));
       skipBlanks(true);
       if (peek() == ',') {
         advance();
       } else if (peek() != ']') {
-        throw ParseError(currentLocation(), "',' or ']' is expected in a list");
+        throw ParseError(currentLocation(), "expected ',' or ']' in a list");
       }
     }
     advance();
@@ -344,15 +353,15 @@
     for (;;) {
       skipBlanks(true);
       if (peek() == '}') break;
-      if (isAtEnd()) throw ParseError(currentLocation(), "'}' is expected, not the end");
+      if (isAtEnd()) throw ParseError(currentLocation(), "expected '}', found the end of the file");
       const SourceLocation location = currentLocation();
-      if (isNext("for ")) throw ParseError(location, "expressions are not read: 'for'");
+      if (isNext("for ")) throw ParseError(location, "expressions are not supported: 'for'");
       std::string key = peek() == '"' ? parseString() : parseIdentifier();
       for (const auto& member : members)
-        if (member.first == key) throw ParseError(location, "'" + key + "' stands twice in an object");
+        if (member.first == key) throw ParseError(location, "duplicate key '" + key + "' in an object");
       skipBlanks(false);
       if (peek() != '=' && peek() != ':')
-        throw ParseError(currentLocation(), "'=' or ':' is expected after '" + key + "'");
+        throw ParseError(currentLocation(), "expected '=' or ':' after '" + key + "'");
       advance();
       skipBlanks(false);
       members.emplace_back(std::move(key), parseValue(depth + 1));
@@ -360,7 +369,7 @@
       if (peek() == ',' || peek() == '\n') {
         advance();
       } else if (peek() != '}') {
-        throw ParseError(currentLocation(), "',', a line end or '}' is expected in an object");
+        throw ParseError(currentLocation(), "expected ',', a line end or '}' in an object");
       }
     }
     advance();
@@ -374,8 +383,8 @@
 }  // namespace
 
 const char* Value::kindName() const {
-  static constexpr std::array<const char*, 6> kKinds{"null",   "true or false", "a number",
-                                                     "a text", "a list",        "an object"};
+  static constexpr std::array<const char*, 6> kKinds{"null",     "a boolean", "a number",
+                                                     "a string", "a list",    "an object"};
   return kKinds[value.index()];
 }
 
--- a/src/hcl/parser.hpp
+++ b/src/hcl/parser.hpp
@@ -1,6 +1,6 @@
-/// A parser of the part of HCL's native syntax that a configuration file needs: blocks with labels,
-/// attributes and literal values. Expressions, functions and templates are errors. It knows no files and no
-/// schema.
+/// A parser for the subset of HCL's native syntax that a configuration file needs: blocks with labels,
+/// attributes and literal values. Expressions, functions and templates are errors. The parser does not read
+/// files and does not check a schema.
 #pragma once
 
 #include <cstddef>
@@ -15,15 +15,15 @@
 namespace paddletrack::hcl {
 
 constexpr std::size_t kMaxTextBytes = 256 * 1024;
-constexpr int kMaxNesting = 16;  // Of blocks, lists and objects.
+constexpr int kMaxNesting = 16;  // Maximum depth of nested blocks, lists and objects.
 
-/// A place in the text, counted from 1.
+/// A position in the text; line and column are counted from 1.
 struct SourceLocation {
   std::size_t line = 1;
   std::size_t column = 1;  // In bytes.
 };
 
-/// An error in the text, and its place.
+/// A syntax error and its position in the text.
 struct ParseError : ErrorOfKind<ErrorKind::invalidOperatorFile> {
   ParseError(SourceLocation where, const std::string& what) : ErrorOfKind(what), location(where) {}
   SourceLocation location;
@@ -35,13 +35,13 @@
   using Object = std::vector<std::pair<std::string, Value>>;  // In the order of the text.
   std::variant<std::nullptr_t, bool, double, std::string, List, Object> value = nullptr;
   SourceLocation location;
-  std::string sourceText;  // Of a number: as it was written.
+  std::string sourceText;  // For a number: its text in the file.
 
-  /// The kind of the value for messages, such as "a number".
+  /// Returns the type of the value for error messages, such as "a number".
   const char* kindName() const;
 };
 
-/// `name = value`.
+/// An attribute: `name = value`.
 struct Attribute {
   std::string name;
   SourceLocation location;
@@ -51,10 +51,10 @@
 struct Block;
 /// The content of a file or of a block.
 struct Body {
-  std::vector<Attribute> attributes;  // Their names differ.
+  std::vector<Attribute> attributes;  // Names are unique.
   std::vector<Block> blocks;
 };
-/// `type "label" { body }`.
+/// A block: `type "label" { body }`.
 struct Block {
   std::string type;
   SourceLocation location;
@@ -62,7 +62,7 @@
   Body body;
 };
 
-/// Throws ParseError.
+/// Parses a whole file. Throws ParseError.
 Body parse(std::string_view text);
 
 }  // namespace paddletrack::hcl
--- a/tests/admin/operator_config_test.cpp
+++ b/tests/admin/operator_config_test.cpp
@@ -1,4 +1,4 @@
-// The operator's file: what is read, and how what is wrong is told.
+// Parsing of the operator's file and of admin requests, and the error messages for invalid input.
 #include "admin/operator_config.hpp"
 
 #include <gtest/gtest.h>
@@ -52,36 +52,36 @@
 }
 
 TEST(HclParser, ReportsLineAndColumnWhenSyntaxIsUnsupportedOrInvalid) {
-  EXPECT_EQ(configError("a = b"), "1:5: expressions are not read: 'b'; a text stands between quotes");
-  EXPECT_EQ(configError("a = max(1, 2)"), "1:5: functions are not read: 'max(...)'");
-  EXPECT_EQ(configError("a = 1 + 2"), "1:7: expressions are not read: '+' after a value");
-  EXPECT_EQ(configError("a = (1)"), "1:5: expressions are not read: '('");
+  EXPECT_EQ(configError("a = b"), "1:5: expressions are not supported: 'b'; a string must be quoted");
+  EXPECT_EQ(configError("a = max(1, 2)"), "1:5: functions are not supported: 'max(...)'");
+  EXPECT_EQ(configError("a = 1 + 2"), "1:7: expressions are not supported: '+' after a value");
+  EXPECT_EQ(configError("a = (1)"), "1:5: expressions are not supported: '('");
   EXPECT_EQ(configError("a = \"x ${b}\""),
-            "1:8: templates are not read: '${'; write '$${' for the text itself");
-  EXPECT_EQ(configError("a = [for x in y : x]"), "1:6: expressions are not read: 'for'");
-  EXPECT_EQ(configError("a = 20s"),
-            "1:5: a number with a unit stands between quotes, as in \"20s\" or \"4MiB\"");
-  EXPECT_EQ(configError("a = 1\n\na = 2"), "3:1: 'a' is set twice, first in line 1");
-  EXPECT_EQ(configError("a = \"open\nb = 1"), "1:5: a text that does not end in its line");
-  EXPECT_EQ(configError("a = \"\\x\""), "1:6: an escape is one of \\n \\r \\t \\\" \\\\ \\uNNNN \\UNNNNNNNN");
-  EXPECT_EQ(configError("door {\n  socket = \"/a\"\n"), "3:1: '}' is expected, not the end");
-  EXPECT_EQ(configError("door { socket = \"/a\", clients = 2 }"), "1:21: '}' is expected");
-  EXPECT_EQ(configError("a = 1 b = 2"), "1:7: after a value the line must end, not go on with 'b'");
-  EXPECT_EQ(configError("a = <<END\nx\n"), "1:5: a text without its closing line 'END'");
-  EXPECT_EQ(configError("a = 1e999"), "1:5: a number out of range");
-  EXPECT_EQ(configError("/* never"), "1:1: a comment that does not end");
-  EXPECT_EQ(configError(std::string("a = \"x\0\"", 9)), "1:7: a zero byte");
-  EXPECT_EQ(configError("\x01"), "1:1: a name is expected, not the byte 0x01");
+            "1:8: templates are not supported: '${'; write '$${' for the literal text");
+  EXPECT_EQ(configError("a = [for x in y : x]"), "1:6: expressions are not supported: 'for'");
+  EXPECT_EQ(configError("a = 20s"), "1:5: a number with a unit must be quoted, as in \"20s\" or \"4MiB\"");
+  EXPECT_EQ(configError("a = 1\n\na = 2"), "3:1: duplicate key 'a', first defined in line 1");
+  EXPECT_EQ(configError("a = \"open\nb = 1"), "1:5: unterminated string; a string must end on the same line");
+  EXPECT_EQ(configError("a = \"\\x\""),
+            "1:6: unknown escape sequence; expected one of \\n \\r \\t \\\" \\\\ \\uNNNN \\UNNNNNNNN");
+  EXPECT_EQ(configError("door {\n  socket = \"/a\"\n"), "3:1: expected '}', found the end of the file");
+  EXPECT_EQ(configError("door { socket = \"/a\", clients = 2 }"), "1:21: expected '}'");
+  EXPECT_EQ(configError("a = 1 b = 2"), "1:7: expected the end of the line after a value, found 'b'");
+  EXPECT_EQ(configError("a = <<END\nx\n"), "1:5: unterminated heredoc; missing closing line 'END'");
+  EXPECT_EQ(configError("a = 1e999"), "1:5: number out of range");
+  EXPECT_EQ(configError("/* never"), "1:1: unterminated comment");
+  EXPECT_EQ(configError(std::string("a = \"x\0\"", 9)), "1:7: unexpected null byte");
+  EXPECT_EQ(configError("\x01"), "1:1: expected a name, found byte 0x01");
   std::string nestedLists = "a = ";
   for (int index = 0; index < 40; ++index) nestedLists += "[";
-  EXPECT_EQ(configError(nestedLists), "1:22: nested deeper than 16");
+  EXPECT_EQ(configError(nestedLists), "1:22: nesting exceeds the maximum depth of 16");
   std::string nestedBlocks;
-  for (int item = 0; item < 40; ++item) nestedBlocks += "b {\n";
-  EXPECT_EQ(configError(nestedBlocks), "17:4: nested deeper than 16");
+  for (int index = 0; index < 40; ++index) nestedBlocks += "b {\n";
+  EXPECT_EQ(configError(nestedBlocks), "17:4: nesting exceeds the maximum depth of 16");
   EXPECT_EQ(configError(std::string(hcl::kMaxTextBytes + 1, '#')), "1:1: the file is longer than 256 KiB");
 }
 
-// No text crashes or hangs the reader; what it takes apart is within its bounds.
+// Arbitrary text must not crash or hang the parser, nor make it read out of bounds.
 RC_GTEST_PROP(HclParser, ParsesOrRejectsArbitraryText, ()) {
   static const std::vector<std::string> kParts{
       "a",    " ",      "=",   "{",    "}",      "[",    "]",   ",",  "\n", "\"x\"", "\"",   "<<E\n",
@@ -95,45 +95,47 @@
 
 TEST(OperatorConfig, ReportsPositionAndKeyWhenFileIsInvalid) {
   EXPECT_EQ(configError("door {\n  scoket = \"/x\"\n}"),
-            "f:2:3: scoket: no such key in door; 'socket' is meant?");
-  EXPECT_EQ(configError("drian {}"), "f:1:1: drian: no such block; 'drain' is meant?");
-  EXPECT_EQ(configError("whatever_this_is {}"), "f:1:1: whatever_this_is: no such block");
-  EXPECT_EQ(configError("deadline = \"2s\""), "f:1:1: deadline: no such key outside of blocks");
-  EXPECT_EQ(configError("drain \"x\" {}"), "f:1:1: drain: no label is expected");
-  EXPECT_EQ(configError("drain {}\ndrain {}"), "f:2:1: drain: it stands twice, first in line 1");
+            "f:2:3: scoket: unknown key in door; did you mean 'socket'?");
+  EXPECT_EQ(configError("drian {}"), "f:1:1: drian: unknown block; did you mean 'drain'?");
+  EXPECT_EQ(configError("whatever_this_is {}"), "f:1:1: whatever_this_is: unknown block");
+  EXPECT_EQ(configError("deadline = \"2s\""), "f:1:1: deadline: unknown key outside of any block");
+  EXPECT_EQ(configError("drain \"x\" {}"), "f:1:1: drain: must not have a label");
+  EXPECT_EQ(configError("drain {}\ndrain {}"), "f:2:1: drain: duplicate block, first defined in line 1");
   EXPECT_EQ(configError("drain { deadline = 20 }"),
-            "f:1:20: drain.deadline: a text is expected, not a number");
+            "f:1:20: drain.deadline: expected a string, found a number");
   EXPECT_EQ(configError("drain { deadline = \"20\" }"),
-            "f:1:20: drain.deadline: '20': a duration is expected, as in \"250ms\", \"20s\" or \"1.5m\"");
+            "f:1:20: drain.deadline: '20': expected a duration such as \"250ms\", \"20s\" or \"1.5m\"");
   EXPECT_EQ(configError("drain { deadline = \"-2s\" }"),
-            "f:1:20: drain.deadline: from 0s to 24h is expected");
-  EXPECT_EQ(configError("drain { deadline = \"2h\" }"), "f:1:20: drain.deadline: it is 2h, drain.longest 1h");
+            "f:1:20: drain.deadline: must be from 0s to 24h inclusive");
+  EXPECT_EQ(configError("drain { deadline = \"2h\" }"),
+            "f:1:20: drain.deadline: must not exceed drain.longest; found 2h, drain.longest is 1h");
   EXPECT_EQ(configError("door { clients = 2.5 }"),
-            "f:1:18: door.clients: a whole number from 1 to 64 is expected");
+            "f:1:18: door.clients: must be a whole number from 1 to 64 inclusive");
   EXPECT_EQ(configError("door { clients = \"2\" }"),
-            "f:1:18: door.clients: a whole number from 1 to 64 is expected, not a text");
+            "f:1:18: door.clients: must be a whole number from 1 to 64 inclusive; found a string");
   EXPECT_EQ(configError("door { socket = \"run/x\" }"),
             "f:1:17: door.socket: 'unix:run/x': a path from the root is wanted");
-  EXPECT_EQ(configError("door { line = \"1GiB\" }"), "f:1:15: door.line: from 256B to 1MiB is expected");
+  EXPECT_EQ(configError("door { line = \"1GiB\" }"),
+            "f:1:15: door.line: must be from 256B to 1MiB inclusive");
   EXPECT_EQ(configError("reach { prefer = [\"unix\", \"ipv4\"] }"),
-            "f:1:18: reach.prefer: a list of \"unix\", \"ipv6\" and \"ipv4\", each once, is expected");
+            "f:1:18: reach.prefer: must be a list of \"unix\", \"ipv6\" and \"ipv4\", each exactly once");
   EXPECT_EQ(configError("reach { prefer = [\"unix\", \"ipv4\", \"ipv5\"] }"),
-            "f:1:18: reach.prefer: a list of \"unix\", \"ipv6\" and \"ipv4\", each once, is expected");
+            "f:1:18: reach.prefer: must be a list of \"unix\", \"ipv6\" and \"ipv4\", each exactly once");
   EXPECT_EQ(configError("reach { prefer = [\"ipv4\", \"unix\", \"ipv6\"] }"), "");
   EXPECT_EQ(configError("share {\n  listen = \"127.0.0.1:7946\"\n  peers = [\"127.0.0.2:7946\"]\n}"), "");
   EXPECT_EQ(configError("share { period = \"1s\" }"),
-            "f:1:18: share.period: share.listen is expected where share has other keys");
+            "f:1:18: share.period: share.listen must be set when the share block has other keys");
   EXPECT_EQ(configError("share { listen = \"[::1]:7946\" }"),
-            "f:1:18: share.listen: '[::1]:7946' is not an IPv4 address and port");
+            "f:1:18: share.listen: expected an IPv4 address and port, found '[::1]:7946'");
   EXPECT_EQ(configError("share { peers = [\"127.0.0.2:7946\", \"127.0.0.2:7946\"] }"),
-            "f:1:17: share.peers: '127.0.0.2:7946' stands twice");
+            "f:1:17: share.peers: duplicate address '127.0.0.2:7946'");
   EXPECT_EQ(configError("share { cluster = \"\" }"),
-            "f:1:19: share.cluster: a name of 1 to 32 bytes is expected");
+            "f:1:19: share.cluster: must be a name of 1 to 32 bytes");
   EXPECT_EQ(configError("log { level = \"loud\" }"),
-            "f:1:15: log.level: 'loud': \"debug\", \"info\", \"warning\" or \"error\" is expected");
+            "f:1:15: log.level: 'loud': must be \"debug\", \"info\", \"warning\" or \"error\"");
   EXPECT_EQ(configError("log {\n  topic {}\n}"),
-            "f:2:3: log.topic: one label is expected, the topic, as in topic \"dial\" { ... }");
-  EXPECT_EQ(configError("log {\n  topic \"dial\" {}\n}"), "f:2:3: log.topic.dial: its level is expected");
+            "f:2:3: log.topic: expected one label, the topic, as in topic \"dial\" { ... }");
+  EXPECT_EQ(configError("log {\n  topic \"dial\" {}\n}"), "f:2:3: log.topic.dial: missing key 'level'");
 }
 
 TEST(OperatorConfig, ShowsOriginOfEachValue) {
@@ -156,7 +158,7 @@
   EXPECT_EQ(describe("log.topic.dial.level"), "\"error\" op.hcl:7");
 }
 
-// ---- what is said at the door --------------------------------------------------------------------------
+// ---- admin requests ------------------------------------------------------------------------------------
 
 std::string requestError(const std::string& line) {
   std::string id = "null";
@@ -170,22 +172,22 @@
 
 TEST(AdminProtocol, ReportsCodeAndRequestIdWhenRequestIsInvalid) {
   EXPECT_EQ(requestError(R"({"v":1,"id":"a","do":"drain","deadline_ms":200})"), "");
-  EXPECT_EQ(requestError("garbage"), "null unreadable: a JSON object a line is expected");
+  EXPECT_EQ(requestError("garbage"), "null unreadable: expected one JSON object per line");
   EXPECT_EQ(requestError("[[[[[[1]]]]]]"), "null unreadable: nested too deep");
-  EXPECT_EQ(requestError("\xff\xfe{"), "null unreadable: a JSON object a line is expected");
-  EXPECT_EQ(requestError(R"({"id":7,"do":"drain"})"), "7 bad_version: v: the version is expected, 1");
+  EXPECT_EQ(requestError("\xff\xfe{"), "null unreadable: expected one JSON object per line");
+  EXPECT_EQ(requestError(R"({"id":7,"do":"drain"})"), "7 bad_version: v: must be the protocol version, 1");
   EXPECT_EQ(requestError(R"({"v":2,"id":7,"do":"drain"})"),
-            "7 bad_version: v: this door speaks version 1 alone");
+            "7 bad_version: v: unsupported version; this admin server supports version 1 only");
   EXPECT_EQ(requestError(R"({"v":1,"id":7,"do":"drian"})"),
-            "7 unknown_wish: do: 'drian' is unknown; 'drain' is meant?");
+            "7 unknown_wish: do: unknown command 'drian'; did you mean 'drain'?");
   EXPECT_EQ(requestError(R"({"v":1,"id":7,"do":"status","deadline_ms":3})"),
-            "7 unknown_key: 'deadline_ms' is not known of status");
+            "7 unknown_key: unknown key 'deadline_ms' for command status");
   EXPECT_EQ(requestError(R"({"v":1,"id":7,"do":"drain","deadline_ms":"3s"})"),
-            "7 bad_value: deadline_ms: whole milliseconds are expected");
+            "7 bad_value: deadline_ms: expected a whole number of milliseconds");
   EXPECT_EQ(requestError(R"({"v":1,"id":[1],"do":"drain"})"),
-            "null bad_value: id: a text or a whole number is expected");
+            "null bad_value: id: expected a string or an integer");
   EXPECT_EQ(requestError(R"({"v":1,"id":7,"do":"watch","every_ms":1})"),
-            "7 bad_value: every_ms: from 20 to 3600000 is expected");
+            "7 bad_value: every_ms: must be from 20 to 3600000 milliseconds");
   std::string id = "null";
   EXPECT_EQ(parseAdminRequest(R"({"v":1,"do":"drain","deadline_ms":-5})", id).deadline, -1ms);
   EXPECT_GT(*parseAdminRequest(R"({"v":1,"do":"drain","deadline_ms":18446744073709551615})", id).deadline,
