--- a/src/rebalance/cluster_view.cpp
+++ b/src/rebalance/cluster_view.cpp
@@ -11,7 +11,7 @@
   return !allowedValues || std::ranges::find(*allowedValues, value) != allowedValues->end();
 }
 
-// FNV-1a over 64 bits.
+// Computes the 64-bit FNV-1a hash.
 class DigestHasher {
  public:
   void add(std::uint64_t value) {
@@ -58,7 +58,8 @@
   for (const std::uint32_t holder : group.holders) hasher.add(holder);
 }
 
-// Sorts the engines by name and drops those with a name seen before. Returns the new index of each engine.
+// Sorts the engines by name and keeps the first of each name. Returns the new index of each engine; a
+// duplicate maps to the engine that was kept.
 std::vector<std::uint32_t> sortEngines(std::vector<EngineSnapshot>& engines) {
   std::vector<std::uint32_t> order(engines.size()), newIndices(engines.size(), UINT32_MAX);
   std::iota(order.begin(), order.end(), 0U);
@@ -75,7 +76,7 @@
   return newIndices;
 }
 
-// Sorts the groups by number and drops those with a number seen before.
+// Sorts the groups by number and keeps the first of each number.
 void sortGroups(std::vector<GroupSnapshot>& groups) {
   std::ranges::stable_sort(groups, [](const GroupSnapshot& left, const GroupSnapshot& right) {
     return left.groupId < right.groupId;
--- a/src/rebalance/cluster_view.hpp
+++ b/src/rebalance/cluster_view.hpp
@@ -1,5 +1,6 @@
-// The view of engines and table groups that plans are computed from. Nothing here does I/O or reads a clock.
-// All figures are integers, so that every controller computes the same plan from the same view.
+// The snapshot of engines and table groups from which plans are computed. This module performs no I/O and
+// reads no clock. All quantities are integers, so that every controller computes the same plan from the same
+// view.
 #pragma once
 
 #include <cstddef>
@@ -15,25 +16,26 @@
 using Bytes = std::int64_t;
 
 struct EngineSnapshot {
-  std::string name;    ///< The same on every controller.
-  Bytes capacity = 0;  ///< Memory for the groups that the engine keeps warm.
-  /// Memory for further groups; negative if the engine holds more than its capacity.
+  std::string name;    ///< Identical on every controller.
+  Bytes capacity = 0;  ///< Memory for the groups that the engine keeps in its cache.
+  /// Memory available for additional groups; negative if the engine holds more than its capacity.
   Bytes headroom = 0;
-  std::int64_t weight = 1;  ///< The engine's share of the load is proportional to it.
+  std::int64_t weight = 1;  ///< The engine's target share of the load is proportional to its weight.
   EndpointState state = EndpointState::ready;
-  bool warmingUp = false;  ///< Of otherwise equal engines, one that is not warming up is preferred.
+  bool warmingUp = false;  ///< Among otherwise equal engines, those not warming up are preferred.
   unsigned zone = 0, machineType = 0;
 };
 
 struct GroupSnapshot {
-  std::uint32_t groupId = 0;    ///< Table group, as in Request::dataSet.
-  Bytes size = 0;               ///< Data that an engine reads to hold the group.
-  std::int64_t readRate = 0;    ///< Reads over all engines, in the same unit for all groups.
-  unsigned wantedReplicas = 1;  ///< Engines that should serve the group, each with an even part of the rate.
-  std::vector<std::uint32_t> holders;  ///< Indices into ClusterView::engines; removed engines hold nothing.
-  /// Placement constraints: the group may be served only in these zones and on these machine types.
+  std::uint32_t groupId = 0;  ///< Table group; the same number as Request::dataSet.
+  Bytes size = 0;             ///< Data that an engine loads to hold the group.
+  std::int64_t readRate = 0;  ///< Reads on all engines, in one unit for all groups.
+  /// Number of engines that should serve the group, each with an equal share of the rate.
+  unsigned wantedReplicas = 1;
+  std::vector<std::uint32_t> holders;  ///< Indices into ClusterView::engines, without removed engines.
+  /// Placement constraints: the zones and machine types that may serve the group; std::nullopt allows all.
   std::optional<std::vector<unsigned>> allowedZones{}, allowedMachineTypes{};
-  bool recentlyMoved = false;  ///< The group is moved again only where moving others does not suffice.
+  bool recentlyMoved = false;  ///< The group is moved again only if moving other groups is not enough.
 };
 
 struct ClusterView {
@@ -41,9 +43,9 @@
   std::vector<GroupSnapshot> groups;
 };
 
-/// Returns the view in canonical order, whatever order its parts were collected in: engines by name, groups
-/// by number, holders by index. Of several entries with one name the first counts. Holders that are not a
-/// valid index of an engine are left out.
+/// Returns the view in canonical order, independent of the order in which its parts were collected: engines
+/// by name, groups by number, holders by index. Of several entries with the same name or number, only the
+/// first is kept. Holders that are not valid engine indices, and removed engines, are dropped.
 ClusterView canonicalize(ClusterView cluster);
 
 /// Returns the FNV-1a hash of a canonical view.
@@ -52,10 +54,10 @@
 /// Returns true if the group's placement constraints allow the engine.
 bool canHold(const GroupSnapshot& group, const EngineSnapshot& engine);
 
-/// Returns the number of replicas that the group can have on `eligibleEngines` engines.
+/// Returns the number of replicas that the group gets if `eligibleEngines` engines may hold it.
 std::size_t replicaCount(const GroupSnapshot& group, std::size_t eligibleEngines);
 
-/// Returns the part of the group's read rate that one replica gets, rounded up.
+/// Returns the share of the group's read rate that one replica serves, rounded up.
 std::int64_t readRatePerReplica(const GroupSnapshot& group, std::size_t eligibleEngines);
 
 }  // namespace paddletrack::rebalance
--- a/src/rebalance/cluster_view_builder.cpp
+++ b/src/rebalance/cluster_view_builder.cpp
@@ -13,7 +13,7 @@
 
 struct MergedEngine {
   ControllerReport::EngineReport report;
-  std::array<unsigned, kEndpointStates> stateCounts{};  // reports by state
+  std::array<unsigned, kEndpointStates> stateCounts{};  // number of reports by state
   std::uint32_t engineIndex = 0;
 };
 
@@ -42,7 +42,8 @@
   return engines;
 }
 
-// Reads in an earlier process of the engine count for the rate, but make it no holder.
+// Reads by an earlier process of the engine count towards the read rate but do not make the engine a holder,
+// because the data was lost with that process.
 void mergeReads(MergedGroup& group, const ControllerReport::GroupReport& report,
                 const ControllerReport& controllerReport, const MergedEngines& engines) {
   for (const auto& [name, readCount] : report.readsByEngine) {
@@ -69,10 +70,10 @@
 }
 
 EndpointState mostFrequentState(const MergedEngine& engine) {
-  std::size_t best = kEndpointStates - 1;
-  for (std::size_t state = best; state-- > 0;)
-    if (engine.stateCounts[state] > engine.stateCounts[best]) best = state;
-  return static_cast<EndpointState>(best);
+  std::size_t mostFrequent = kEndpointStates - 1;
+  for (std::size_t state = mostFrequent; state-- > 0;)
+    if (engine.stateCounts[state] > engine.stateCounts[mostFrequent]) mostFrequent = state;
+  return static_cast<EndpointState>(mostFrequent);
 }
 
 void addEngines(ClusterView& view, MergedEngines& engines) {
--- a/src/rebalance/cluster_view_builder.hpp
+++ b/src/rebalance/cluster_view_builder.hpp
@@ -1,5 +1,6 @@
-// Merges the reports of all controllers for one epoch into one cluster view: the same view from the same
-// reports, whichever controller merges them and in whatever order they arrived. No I/O, no clock.
+// Merges the reports of all controllers for one epoch into one cluster view. The result depends only on the
+// reports, not on the controller that merges them or the order in which they arrived. Performs no I/O and
+// reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +15,8 @@
 struct ControllerReport {
   struct EngineReport {
     EndpointState state = EndpointState::ready;
-    /// Start of the engine's process; 0: unknown, long ago. Data read before it is not in memory any more.
+    /// Start time of the engine's process, in seconds of the wall clock; 0 if it is unknown because it was
+    /// long ago. Data that was read before this time is no longer in memory.
     std::int64_t startedAt = 0;
     bool warmingUp = false;
     unsigned zone = 0, machineType = 0;
@@ -23,7 +25,9 @@
   };
   struct GroupReport {
     Bytes size = 0;
-    std::map<std::string, std::int64_t> readsByEngine;  ///< By engine name, since the last epoch.
+    /// Number of reads by engine name, in the previous epoch (for local observation, also in the current
+    /// one).
+    std::map<std::string, std::int64_t> readsByEngine;
     bool recentlyMoved = false;
   };
   std::map<std::string, EngineReport> engines;  ///< By name.
@@ -31,15 +35,16 @@
 };
 
 struct ViewBuilderOptions {
-  /// A group with more reads than this gets as many replicas as keep each within it; 0: always one.
+  /// Maximum number of reads that one replica should serve; determines the number of replicas of a group.
+  /// With 0, every group has one replica.
   std::int64_t maxReadsPerReplica = 0;
   unsigned maxReplicas = 4;
 };
 
-/// Merges the reports, given by controller. An engine's state is the one reported most often (the worse of
-/// two as frequent), its process the latest that is reported, its capacity the smallest. A group is held by
-/// each engine that read it in its present process, and its size is the largest reported. Headroom is the
-/// capacity minus what the engine holds.
+/// Merges the reports, which are keyed by controller. An engine gets the state that is reported most often
+/// (of two equally frequent states, the worse one), the process with the latest reported start time, and the
+/// smallest reported capacity. A group is held by each engine that has read it in its current process, and
+/// gets the largest reported size. An engine's headroom is its capacity minus the groups that it holds.
 ClusterView buildClusterView(const std::map<std::string, ControllerReport>& reports,
                              const ViewBuilderOptions& options);
 
--- a/src/rebalance/codec.cpp
+++ b/src/rebalance/codec.cpp
@@ -12,9 +12,9 @@
 constexpr gossip::Topic kTopic = gossip::kRebalance;
 constexpr std::size_t kMaxItemsPerValue = 4096;
 constexpr std::size_t kMaxValueDepth = 6;
-constexpr std::size_t kChunkOverhead = 16;  // bytes of a value beside its items, at most
+constexpr std::size_t kChunkOverhead = 16;  // maximum size of a value's fields other than its items, in bytes
 
-// Limits of received figures, so that sums over them do not overflow.
+// Upper bounds for received numbers, so that sums over them do not overflow.
 constexpr std::int64_t kMaxWeight = 1 << 20;
 constexpr Bytes kMaxBytes = Bytes{1} << 50;
 constexpr std::int64_t kMaxReadCount = 1 << 30;
@@ -42,8 +42,8 @@
   }
 }
 
-// Writes each value with as many items as fit, and returns the number of values. An item that is too large
-// for a value of its own is left out.
+// Splits the items into values that each contain as many items as fit, writes them, and returns the number of
+// values. An item that exceeds the size limit on its own is skipped.
 template <typename Item>
 std::size_t writeChunks(gossip::Store& store, Duration now, char keyPrefix, std::uint64_t epoch,
                         const std::vector<Item>& items) {
@@ -69,16 +69,17 @@
   return valueCount;
 }
 
-// The values that one controller has published, as they are received.
+// The values received so far from one controller.
 struct PartialReport {
   bool hasHeader = false;
-  std::size_t engineValues = 0, expectedEngineValues = 0;
-  std::size_t groupValues = 0, expectedGroupValues = 0;
+  std::size_t engineValueCount = 0, expectedEngineValueCount = 0;
+  std::size_t groupValueCount = 0, expectedGroupValueCount = 0;
   std::vector<GroupTuple> groupTuples;
   ControllerReport report;
 
   bool isComplete() const {
-    return hasHeader && engineValues == expectedEngineValues && groupValues == expectedGroupValues;
+    return hasHeader && engineValueCount == expectedEngineValueCount &&
+           groupValueCount == expectedGroupValueCount;
   }
 };
 
@@ -90,7 +91,7 @@
   return engines;
 }
 
-// The groups with the most reads first. Engines are given by their index in the report.
+// Returns the groups, those with the most reads first. Engines are referred to by their index in the report.
 std::vector<GroupTuple> packGroups(const ControllerReport& report) {
   std::map<std::string, unsigned> engineIndices;
   for (const auto& [name, engine] : report.engines)
@@ -117,7 +118,7 @@
   return groups;
 }
 
-// The read functions return false if the value is not readable. Values of other epochs are ignored.
+// The functions below return false if the value cannot be decoded. Values of other epochs are ignored.
 
 bool readPromise(const std::string& value, Promise& promise) {
   const auto unpacked = unpackValue<std::tuple<std::uint64_t, std::uint64_t>>(value);
@@ -129,10 +130,10 @@
 bool readHeader(const std::string& value, std::uint64_t epoch, PartialReport& partial) {
   const auto unpacked = unpackValue<std::tuple<std::uint64_t, std::size_t, std::size_t>>(value);
   if (!unpacked) return false;
-  const auto& [valueEpoch, engineValues, groupValues] = *unpacked;
+  const auto& [valueEpoch, engineValueCount, groupValueCount] = *unpacked;
   partial.hasHeader = valueEpoch == epoch;
-  partial.expectedEngineValues = engineValues;
-  partial.expectedGroupValues = groupValues;
+  partial.expectedEngineValueCount = engineValueCount;
+  partial.expectedGroupValueCount = groupValueCount;
   return true;
 }
 
@@ -141,7 +142,7 @@
   if (!unpacked) return false;
   const auto& [valueEpoch, engines] = *unpacked;
   if (valueEpoch != epoch) return true;
-  ++partial.engineValues;
+  ++partial.engineValueCount;
   for (const auto& [name, state, startedAt, warmingUp, zone, machineType, weight, capacity] : engines) {
     ControllerReport::EngineReport& engine = partial.report.engines[name];
     engine.state = static_cast<EndpointState>(std::min(state, 2U));
@@ -160,12 +161,12 @@
   if (!unpacked) return false;
   auto& [valueEpoch, groups] = *unpacked;
   if (valueEpoch != epoch) return true;
-  ++partial.groupValues;
+  ++partial.groupValueCount;
   for (GroupTuple& group : groups) partial.groupTuples.push_back(std::move(group));
   return true;
 }
 
-// Groups name engines by index, so they are decoded once all engines of the report are known.
+// Groups refer to engines by index, so they are decoded after all engines of the report have been read.
 void decodeGroups(PartialReport& partial) {
   std::vector<const std::string*> engineNames;
   for (const auto& [name, engine] : partial.report.engines) engineNames.push_back(&name);
@@ -183,9 +184,9 @@
 }  // namespace
 
 void publishReport(gossip::Store& store, Duration now, std::uint64_t epoch, const ControllerReport& report) {
-  const std::size_t engineValues = writeChunks(store, now, 'e', epoch, packEngines(report));
-  const std::size_t groupValues = writeChunks(store, now, 'g', epoch, packGroups(report));
-  store.put(now, kTopic, "v", packValue(std::make_tuple(epoch, engineValues, groupValues)));
+  const std::size_t engineValueCount = writeChunks(store, now, 'e', epoch, packEngines(report));
+  const std::size_t groupValueCount = writeChunks(store, now, 'g', epoch, packGroups(report));
+  store.put(now, kTopic, "v", packValue(std::make_tuple(epoch, engineValueCount, groupValueCount)));
 }
 
 void publishPromise(gossip::Store& store, Duration now, const Promise& promise) {
--- a/src/rebalance/codec.hpp
+++ b/src/rebalance/codec.hpp
@@ -1,5 +1,5 @@
-// Encodes and decodes the gossip entries of rebalancing (topic kRebalance): reports and promises. No I/O; the
-// caller passes the time.
+// Encodes and decodes the gossip entries of rebalancing (topic kRebalance): reports and promises. Performs no
+// I/O; the caller passes the current time.
 #pragma once
 
 #include <optional>
@@ -11,24 +11,25 @@
 
 namespace paddletrack::rebalance {
 
-/// Groups in a report at most; the least read are left out.
+/// Maximum number of groups in a report; the groups with the fewest reads are omitted.
 constexpr std::size_t kMaxGroups = 6000;
 
-/// Writes the report into the store. Keys, with values in MessagePack: e0, e1, ... the engines and g0, g1,
-/// ... the groups, each value [epoch, items] within the size limit of an entry; v [epoch, number of engine
-/// values, number of group values]. v is written last, so that a peer that has received it has received the
-/// others.
+/// Writes the report into the store, with values encoded in MessagePack. The keys e0, e1, ... contain the
+/// engines and g0, g1, ... the groups; each value is [epoch, items] and within the size limit of an entry.
+/// The key v contains [epoch, number of engine values, number of group values]. It is written last, so that a
+/// peer that has received v has also received the other values.
 void publishReport(gossip::Store& store, Duration now, std::uint64_t epoch, const ControllerReport& report);
-/// Writes the promise, key p: [epoch, digest].
+/// Writes the promise into the store, under key p as [epoch, digest].
 void publishPromise(gossip::Store& store, Duration now, const Promise& promise);
 
 struct ReceivedReports {
-  std::map<std::string, ControllerReport> reports;  ///< By controller; complete ones of the epoch only.
-  std::map<std::string, Promise> promises;          ///< By controller, of any epoch.
+  std::map<std::string, ControllerReport> reports;  ///< By controller; only complete reports of the epoch.
+  std::map<std::string, Promise> promises;          ///< By controller, for any epoch.
   std::size_t unreadableValues = 0;
 };
 
-/// Reads what all controllers have published for `epoch`.
+/// Reads the reports that all controllers have published for `epoch`, and their latest promises. Values that
+/// cannot be decoded are counted and skipped.
 ReceivedReports readReports(const gossip::Store& store, Duration now, std::uint64_t epoch);
 
 }  // namespace paddletrack::rebalance
--- a/src/rebalance/load_lower_bound.cpp
+++ b/src/rebalance/load_lower_bound.cpp
@@ -9,7 +9,8 @@
 
 __extension__ using Int128 = __int128;
 
-// The ready engines that satisfy one placement constraint, and the load of the groups that have it.
+// Totals of the ready engines that satisfy one placement constraint, and the load of the groups with that
+// constraint.
 struct ConstraintClass {
   const GroupSnapshot* sampleGroup = nullptr;
   std::int64_t totalWeight = 0;
@@ -44,8 +45,9 @@
 
 }  // namespace
 
-// The bound is the largest of three: the mean over all engines; for each placement constraint, the mean over
-// its engines of the groups that have it; and the load of one replica on the strongest engine it may use.
+// The bound is the maximum of: the mean load over all ready engines; for each placement constraint, the mean
+// load of the groups with that constraint over the engines that satisfy it; and, for each group, the load of
+// one replica on the engine with the largest weight that may hold it.
 LoadLowerBound::LoadLowerBound(const ClusterView& cluster) {
   std::int64_t totalWeight = 0;
   for (const EngineSnapshot& engine : cluster.engines)
@@ -61,13 +63,13 @@
         replicaLoad * static_cast<std::int64_t>(replicaCount(group, constraint.eligibleEngines));
     totalLoad += groupLoad;
     constraint.load += groupLoad;
-    raise(replicaLoad, constraint.maxWeight);
+    raiseBound(replicaLoad, constraint.maxWeight);
   }
-  raise(totalLoad, totalWeight);
-  for (const ConstraintClass& constraint : constraints) raise(constraint.load, constraint.totalWeight);
+  raiseBound(totalLoad, totalWeight);
+  for (const ConstraintClass& constraint : constraints) raiseBound(constraint.load, constraint.totalWeight);
 }
 
-void LoadLowerBound::raise(std::int64_t load, std::int64_t weight) {
+void LoadLowerBound::raiseBound(std::int64_t load, std::int64_t weight) {
   if (weight <= 0 || Int128(load) * weight_ <= Int128(load_) * weight) return;
   load_ = load;
   weight_ = weight;
--- a/src/rebalance/move_ordering.cpp
+++ b/src/rebalance/move_ordering.cpp
@@ -35,9 +35,9 @@
 
 void MoveOrdering::enqueue(std::uint32_t moveIndex) {
   const Move& move = wantedMoves_[moveIndex];
-  const bool prioritizesUnblocking = strategy_ != OrderingStrategy::smallestFirst;
+  const bool prefersUnblocking = strategy_ != OrderingStrategy::smallestFirst;
   const Bytes priority =
-      prioritizesUnblocking && move.source ? std::min<Bytes>(awaitedBytes_[*move.source], 1) : 0;
+      prefersUnblocking && move.source ? std::min<Bytes>(awaitedBytes_[*move.source], 1) : 0;
   readyMoves_.push({-priority, move.bytes, moveIndex});
 }
 
@@ -72,8 +72,8 @@
   return blocked;
 }
 
-// The smallest blocked move for which some third engine has room makes a stop there. Returns false if there
-// is none.
+// Starts a detour for the smallest blocked move for which a third engine has room. Returns false if there is
+// no such move.
 bool MoveOrdering::startSmallestDetour() {
   for (const std::uint32_t moveIndex : blockedMovesBySize()) {
     const std::optional<std::uint32_t> detourEngine = findDetourEngine(moveIndex);
@@ -86,7 +86,7 @@
 
 std::optional<std::uint32_t> MoveOrdering::findDetourEngine(std::uint32_t moveIndex) const {
   const Move& hop = nextHops_[moveIndex];
-  // A move that has made a stop already starts from there.
+  // A move takes at most one detour; after it, the move's source is the detour engine.
   const bool hasAlreadyDetoured = wantedMoves_[moveIndex].source != hop.source;
   if (!hop.source || hasAlreadyDetoured) return std::nullopt;
   for (std::uint32_t engine = 0; engine < cluster_.engines.size(); ++engine)
--- a/src/rebalance/move_ordering.hpp
+++ b/src/rebalance/move_ordering.hpp
@@ -12,28 +12,28 @@
 
 namespace paddletrack::rebalance {
 
-/// Which moves come first, and whether blocked ones may stop at a third engine on their way.
+/// The priority of moves, and whether blocked moves may take a detour through a third engine.
 enum class OrderingStrategy : std::uint8_t {
   smallestFirst,
-  unblockingFirst,             ///< First the moves that free memory on an engine that others wait for.
-  unblockingFirstWithDetours,  ///< The same; if all are stuck, a move makes a stop at a third engine.
+  unblockingFirst,  ///< Moves that free memory on an engine that is the target of other moves come first.
+  unblockingFirstWithDetours,  ///< The same; if all remaining moves are blocked, one takes a detour.
 };
 
 struct OrderedMoves {
-  std::vector<Move> moves;                  ///< In order; their dependencies are not set.
-  std::vector<std::uint32_t> blockedMoves;  ///< Sorted indices of the wanted moves that found no room.
-  Bytes detourBytes = 0;                    ///< Data that the stops on the way cost in addition.
+  std::vector<Move> moves;                  ///< In order, without dependencies.
+  std::vector<std::uint32_t> blockedMoves;  ///< Sorted indices of the wanted moves that are blocked.
+  Bytes detourBytes = 0;                    ///< Additional data that is loaded for detours.
 };
 
-/// Puts wanted moves in an order in which every engine has headroom for each move at its time. Greedy: a move
-/// without room waits until another one frees memory on its target.
+/// Orders the wanted moves so that each target has enough headroom when its move starts. The algorithm is
+/// greedy: a move whose target has no room waits until another move frees memory there.
 class MoveOrdering {
  public:
-  /// Keeps references to all arguments but the strategy; they must outlive it.
+  /// Keeps references to all arguments except `strategy`; they must outlive the object.
   MoveOrdering(const ClusterView& cluster, const PlanOptions& options, const std::vector<Move>& wantedMoves,
                OrderingStrategy strategy);
 
-  /// Called once.
+  /// May be called only once.
   OrderedMoves run();
 
  private:
@@ -42,7 +42,7 @@
     Bytes freedBytes = 0;
   };
   struct QueuedMove {
-    Bytes negatedPriority = 0;  // the lowest comes first
+    Bytes negatedPriority = 0;  // negated, because the queue returns the lowest value first
     Bytes bytes = 0;
     std::uint32_t move = 0;
     auto operator<=>(const QueuedMove&) const = default;
@@ -65,10 +65,10 @@
   const std::vector<Move>& wantedMoves_;
   OrderingStrategy strategy_;
   std::vector<EngineTransfer> transfers_;  // by engine
-  std::vector<Bytes> awaitedBytes_;        // by engine, of all wanted moves to it
-  std::vector<Move> nextHops_;             // what is left of each wanted move
+  std::vector<Bytes> awaitedBytes_;        // total of the wanted moves to each engine
+  std::vector<Move> nextHops_;             // remaining transfer of each wanted move
   std::priority_queue<QueuedMove, std::vector<QueuedMove>, std::greater<>> readyMoves_;
-  std::vector<std::vector<std::uint32_t>> waitingByEngine_;  // moves that wait for memory on their target
+  std::vector<std::vector<std::uint32_t>> waitingByEngine_;  // moves waiting for memory, by target
   OrderedMoves result_;
 };
 
--- a/src/rebalance/move_scheduler.cpp
+++ b/src/rebalance/move_scheduler.cpp
@@ -12,16 +12,17 @@
 namespace paddletrack::rebalance {
 namespace {
 
-// What the moves so far bring to and free on one engine.
+// The bytes that the moves processed so far bring to and free on one engine.
 struct EngineProgress {
   Bytes incomingBytes = 0;
-  Bytes freedBytes = 0;  // by the first `usedFreeingMoves` of the freeing moves
+  Bytes freedBytes = 0;  // by the first `usedFreeingMoves` entries of `freeingMoves`
   std::vector<std::uint32_t> freeingMoves;
   std::size_t usedFreeingMoves = 0;
 };
 
-// Each move waits for the first of the moves that free memory on its target, as many as give room even if all
-// moves before it have arrived there; and the second hop of a detour waits for the first one.
+// Sets the dependencies of each move. A move depends on the earliest moves that free memory on its target, on
+// as many as are needed for it to fit even if all earlier moves to that engine have arrived. The second hop
+// of a detour depends on the first one.
 class DependencyBuilder {
  public:
   DependencyBuilder(const ClusterView& cluster, const PlanOptions& options, std::vector<Move>& moves)
@@ -80,7 +81,7 @@
                              std::vector<Move> wantedMoves)
     : cluster_(cluster), options_(options), wantedMoves_(std::move(wantedMoves)) {}
 
-// The strategies are tried in turn until one leaves no move blocked.
+// Tries the strategies in turn until one leaves no move blocked. If none does, falls back to MoveStateSearch.
 void MoveScheduler::schedule(Plan& plan) const {
   OrderedMoves ordered;
   for (const OrderingStrategy strategy : {OrderingStrategy::smallestFirst, OrderingStrategy::unblockingFirst,
@@ -91,7 +92,7 @@
   if (!ordered.blockedMoves.empty()) {
     std::optional<std::vector<Move>> moves = MoveStateSearch(cluster_, options_, plan.placements).run();
     if (moves) {
-      useSearchedMoves(std::move(*moves), plan);
+      applySearchResult(std::move(*moves), plan);
       return;
     }
   }
@@ -103,8 +104,8 @@
   for (const Move& move : plan.moves) plan.totalBytes += move.bytes;
 }
 
-// What the found moves cost beyond the wanted ones is the price of their detours.
-void MoveScheduler::useSearchedMoves(std::vector<Move> moves, Plan& plan) const {
+// The bytes of the found moves in excess of those of the wanted moves are the cost of detours.
+void MoveScheduler::applySearchResult(std::vector<Move> moves, Plan& plan) const {
   plan.totalBytes = 0;
   for (const Move& move : moves) plan.totalBytes += move.bytes;
   plan.detourBytes = plan.totalBytes;
@@ -112,7 +113,7 @@
   plan.moves = std::move(moves);
 }
 
-// The replica stays on the engine that it should have left, if that engine still serves.
+// Keeps the replica on its source if that engine is ready.
 void MoveScheduler::deferMove(const Move& move, Plan& plan) const {
   auto& placement = plan.placements[move.group];
   if (move.target) std::erase(placement, *move.target);
--- a/src/rebalance/move_scheduler.hpp
+++ b/src/rebalance/move_scheduler.hpp
@@ -6,19 +6,19 @@
 
 namespace paddletrack::rebalance {
 
-/// Decides in which order the moves of a plan run, so that no engine ever exceeds its headroom, and which
-/// moves have to wait for which others.
+/// Determines the order of a plan's moves, so that no engine exceeds its headroom at any time, and the
+/// dependencies between the moves.
 class MoveScheduler {
  public:
-  /// Keeps references to `cluster` and `options`, which must outlive it.
+  /// Keeps references to `cluster` and `options`, which must outlive the object.
   MoveScheduler(const ClusterView& cluster, const PlanOptions& options, std::vector<Move> wantedMoves);
 
-  /// Sets the moves of `plan` with their dependencies and figures. Moves for which no order has room are
-  /// left out, and the plan's placements are changed accordingly.
+  /// Sets the moves of `plan`, their dependencies and the totals derived from them. Moves for which no order
+  /// has enough memory are deferred, and the plan's placements are changed accordingly.
   void schedule(Plan& plan) const;
 
  private:
-  void useSearchedMoves(std::vector<Move> moves, Plan& plan) const;
+  void applySearchResult(std::vector<Move> moves, Plan& plan) const;
   void deferMove(const Move& move, Plan& plan) const;
   void addDependencies(std::vector<Move>& moves) const;
 
--- a/src/rebalance/move_state_search.cpp
+++ b/src/rebalance/move_state_search.cpp
@@ -7,9 +7,9 @@
 namespace paddletrack::rebalance {
 namespace {
 
-constexpr std::size_t kMaxEngines = 16;  // one bit each in a state
+constexpr std::size_t kMaxEngines = 16;  // each engine is one bit of a 16-bit set
 constexpr std::size_t kMaxGroups = 16;
-constexpr int kWorkBudgetDivisor = 8;  // nodes weigh more than those of the placement search
+constexpr int kWorkBudgetDivisor = 8;  // a node costs more than one of the placement search
 
 std::uint16_t withBit(std::uint16_t bits, std::uint32_t engine) {
   return static_cast<std::uint16_t>(bits | 1U << engine);
@@ -31,7 +31,7 @@
     const std::size_t nodeIndex = frontier_.top().node;
     frontier_.pop();
     const Node& node = nodes_[nodeIndex];
-    // The same state has been reached at a lower cost since this entry was made.
+    // Skips an outdated entry: the same state has since been reached at a lower cost.
     if (minBytes_[node.state] < node.movedBytes) continue;
     if (node.state == goalState_) return reconstructMoves(nodeIndex);
     expand(nodeIndex);
@@ -67,7 +67,7 @@
   frontier_.push({estimateRemainingBytes(startState_), 0});
 }
 
-// A lower bound: each replica that is missing from the goal has to be transferred once.
+// Returns a lower bound: each replica of the goal that is still missing has to be transferred once.
 Bytes MoveStateSearch::estimateRemainingBytes(const HolderState& state) const {
   Bytes remainingBytes = 0;
   for (std::size_t group = 0; group < state.size(); ++group) {
@@ -85,7 +85,8 @@
   return usedBytes;
 }
 
-// The last replica of a group stays, except on a ready engine that must not serve the group.
+// The last replica of a group must not be removed, unless it is on a ready engine that is not allowed to
+// serve the group.
 bool MoveStateSearch::isStepAllowed(const Step& step, const HolderState& state,
                                     const std::vector<Bytes>& usedBytes) const {
   const GroupSnapshot& group = cluster_.groups[step.group];
--- a/src/rebalance/move_state_search.hpp
+++ b/src/rebalance/move_state_search.hpp
@@ -12,21 +12,22 @@
 
 namespace paddletrack::rebalance {
 
-/// Finds the cheapest sequence of moves from the current holders to the placements through states in which
-/// every engine has room (A*). Groups that need not move may make way for others. It is the last resort of
-/// small fleets, where MoveOrdering leaves moves blocked.
+/// Finds the cheapest sequence of moves from the current holders to the placements with an A* search over
+/// holder states in which no engine exceeds its memory. Groups that are already in place may be moved
+/// temporarily to free memory for others. Used as a fallback for small fleets when MoveOrdering leaves moves
+/// blocked.
 class MoveStateSearch {
  public:
-  /// Keeps references to the arguments, which must outlive it.
+  /// Keeps references to the arguments, which must outlive the object.
   MoveStateSearch(const ClusterView& cluster, const PlanOptions& options,
                   const std::vector<std::vector<std::uint32_t>>& placements);
 
-  /// Returns the moves in order, each dependent on all before it. Returns none if the fleet is too large,
-  /// the options divide the headroom, the work budget is used up or no sequence exists.
+  /// Returns the moves in order, each dependent on all earlier ones. Returns std::nullopt if the fleet is too
+  /// large, `headroomDivisor` is not 1, the work budget is exhausted or no sequence exists.
   std::optional<std::vector<Move>> run();
 
  private:
-  // For each group the engines that hold it, one bit each.
+  // For each group, a bit set of the engines that hold it.
   using HolderState = std::vector<std::uint16_t>;
   struct Node {
     HolderState state;
--- a/src/rebalance/neighborhood_search.cpp
+++ b/src/rebalance/neighborhood_search.cpp
@@ -10,21 +10,22 @@
 namespace paddletrack::rebalance {
 namespace {
 
-// Up to this many replicas and engines, one window holds all of them.
+// Limits up to which one window contains all replicas and engines.
 constexpr int kFullSearchReplicas = 16;
 constexpr std::size_t kFullSearchEngines = 10;
-// Up to this many replicas, one window holds all of them if smaller windows leave a replica unplaced.
+// Number of replicas up to which one window with all replicas is searched if the smaller windows leave a
+// replica unplaced.
 constexpr int kFallbackSearchReplicas = 32;
-// The parts of the work budget that these two searches may take.
+// These two searches may use the work budget divided by these numbers.
 constexpr int kFullSearchDivisor = 5;
 constexpr int kFallbackSearchDivisor = 2;
 
 constexpr std::size_t kWindowReplicas = 11;
 constexpr std::size_t kWindowEngines = 4;
-constexpr std::size_t kWindowHolders = 2;  // holders of the group that a window includes
+constexpr std::size_t kWindowHolders = 2;  // maximum number of the group's holders in a window
 constexpr int kRandomEngineDraws = 8;
 constexpr int kWindowSearchNodes = 1'500;
-constexpr int kMaxIdleRounds = 2;  // the search ends after this many rounds without an improvement
+constexpr int kMaxIdleRounds = 2;  // consecutive rounds without improvement that end the search
 
 }  // namespace
 
@@ -70,7 +71,7 @@
   }
 }
 
-// The unassigned ones come first.
+// Returns the misplaced replicas, the unassigned ones first.
 std::vector<int> NeighborhoodSearch::misplacedReplicas() const {
   std::vector<int> misplaced;
   for (int index = 0; index < placement_.replicaCount(); ++index)
@@ -98,7 +99,7 @@
   return hasImproved;
 }
 
-// Some holders of the group, the replica's present engine, and others at random.
+// Selects some holders of the group, the replica's current engine, and random other engines.
 std::vector<int> NeighborhoodSearch::selectWindowEngines(const Replica& replica) {
   std::vector<int> windowEngines;
   const auto addEngine = [&](int engine) {
@@ -114,7 +115,7 @@
   return windowEngines;
 }
 
-// The replica itself and others on the window's engines at random, with misplaced ones preferred.
+// Selects the replica itself and random other replicas on the window's engines, preferring misplaced ones.
 std::vector<int> NeighborhoodSearch::selectWindowReplicas(int replicaIndex,
                                                           const std::vector<int>& windowEngines) {
   std::vector<int> neighbors;
@@ -131,7 +132,8 @@
   return windowReplicas;
 }
 
-// std::shuffle is not used, because its result differs between standard libraries.
+// Does not use std::shuffle, because its result differs between standard libraries and all controllers must
+// compute the same placement.
 void NeighborhoodSearch::shuffle(std::vector<int>& items) {
   for (std::size_t count = items.size(); count > 1; --count)
     std::swap(items[count - 1], items[random_() % count]);
--- a/src/rebalance/neighborhood_search.hpp
+++ b/src/rebalance/neighborhood_search.hpp
@@ -7,13 +7,13 @@
 
 namespace paddletrack::rebalance {
 
-/// Improves a placement: a small one by one search over everything, a large one by repeated searches of small
-/// windows around its misplaced replicas (large neighborhood search). The pseudo-random choices have a fixed
+/// Improves a placement. A small placement is searched as a whole; a large one by repeated searches of small
+/// windows around its misplaced replicas (large neighborhood search). The pseudo-random generator has a fixed
 /// seed, so that every controller computes the same placement.
 class NeighborhoodSearch {
  public:
-  /// Changes `placement`, which must outlive the search. `workBudget` is the budget of the whole plan,
-  /// `remainingWork` the part of it that is left for searching windows.
+  /// Modifies `placement`, which must outlive the search. `workBudget` is the budget of the entire plan, and
+  /// `remainingWork` the part of it that is left for window searches.
   NeighborhoodSearch(PlacementState& placement, int workBudget, int remainingWork);
 
   void run();
--- a/src/rebalance/placement_solver.cpp
+++ b/src/rebalance/placement_solver.cpp
@@ -11,10 +11,10 @@
 namespace paddletrack::rebalance {
 namespace {
 
-// Added to the relative load of an engine, to prefer others of about the same load.
+// Added to the relative load of an engine, so that others with about the same load are preferred.
 constexpr double kWarmingUpPenalty = 0.1;
 constexpr double kMissingHeadroomPenalty = 0.2;
-// Trying this many engines counts as one unit of the work budget, as one node of a search does.
+// Evaluating this many engines costs one unit of the work budget, the same as one search node.
 constexpr int kEnginesPerWorkUnit = 64;
 
 struct Relocation {
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-// The lower, the better: an engine's cost decides first.
+// A lower score is better; the move cost is compared first.
 struct PlacementSolver::PlacementScore {
   std::int64_t cost = 0;
   double balance = 0;
@@ -43,12 +43,12 @@
   placeUnassigned();
   NeighborhoodSearch(placement_, options_.workBudget, remainingWork_).run();
   plan.unplacedReplicas += placeBeyondLimits();
-  reportLimits(plan);
-  reportPlacements(plan);
+  recordExceededLimits(plan);
+  recordPlacements(plan);
 }
 
-// Groups with more holders than wanted replicas are assigned last, the most read first, so that they keep
-// their replicas on the engines that have less load by then.
+// Groups with more holders than wanted replicas are assigned last, the most read groups first, so that they
+// keep their replicas on the engines that are less loaded by then.
 void PlacementSolver::keepCurrentHolders() {
   std::vector<std::uint32_t> overreplicatedGroups;
   for (std::uint32_t groupIndex = 0; groupIndex < cluster_.groups.size(); ++groupIndex) {
@@ -97,7 +97,8 @@
   }
 }
 
-// Another holder of the group can serve it without a transfer. Replicas that go there leave `candidates`.
+// Reassigns replicas to other holders of their groups, which needs no transfer. Reassigned replicas are
+// removed from `candidates`.
 void PlacementSolver::relocateToOtherHolders(int engine, std::vector<int>& candidates) {
   std::vector<Relocation> relocations;
   for (const int replicaIndex : candidates) {
@@ -137,8 +138,8 @@
   return ShedSelection(std::move(shedCandidates), excess).run();
 }
 
-// If some replica finds no engine, all are placed anew on the most loaded engines that still have room, which
-// leaves larger gaps on the others.
+// If a replica does not fit on any engine, all are placed again, this time on the most loaded engines that
+// still have room, which leaves larger gaps of free memory on the others.
 void PlacementSolver::placeUnassigned() {
   std::vector<int> unassigned = placement_.unassignedReplicas();
   placement_.sortByDifficulty(unassigned);
@@ -189,8 +190,9 @@
   return {placement_.moveCost(replica, engine), balance};
 }
 
-// Replicas that no search could place stay at a holder, whatever its limits, or else go where there is room,
-// whatever the load. Returns the number of those for which there is none.
+// Places the replicas that no search could place: on a holder, regardless of its limits, or else on an engine
+// with enough memory, regardless of its load. Returns the number of replicas for which no engine has enough
+// memory.
 std::size_t PlacementSolver::placeBeyondLimits() {
   std::vector<int> displaced;
   for (const int replicaIndex : placement_.unassignedReplicas()) {
@@ -201,7 +203,7 @@
   }
   std::size_t unplacedReplicas = 0;
   for (const int replicaIndex : displaced)
-    if (!placeWhereRoomIs(replicaIndex)) ++unplacedReplicas;
+    if (!placeIgnoringLoad(replicaIndex)) ++unplacedReplicas;
   return unplacedReplicas;
 }
 
@@ -217,7 +219,8 @@
   return true;
 }
 
-// On an overfull engine, replicas that would have to be transferred there make room for those it holds.
+// Removes replicas from an overfull engine that would have to be transferred to it, to make room for those
+// that it already holds.
 void PlacementSolver::evictNewReplicas(int engine, std::vector<int>& displaced) {
   const EngineLoad& engineLoad = placement_.engineLoad(engine);
   while (engineLoad.usedBytes > engineLoad.capacityBytes) {
@@ -231,7 +234,7 @@
   }
 }
 
-bool PlacementSolver::placeWhereRoomIs(int replicaIndex) {
+bool PlacementSolver::placeIgnoringLoad(int replicaIndex) {
   const Replica& replica = placement_.replica(replicaIndex);
   int bestEngine = kUnassigned;
   for (int engine = 0; engine < placement_.engineCount(); ++engine) {
@@ -244,7 +247,7 @@
   return true;
 }
 
-void PlacementSolver::reportLimits(Plan& plan) const {
+void PlacementSolver::recordExceededLimits(Plan& plan) const {
   for (int engine = 0; engine < placement_.engineCount(); ++engine) {
     const EngineLoad& engineLoad = placement_.engineLoad(engine);
     if (!engineLoad.isReady) continue;
@@ -253,7 +256,7 @@
   }
 }
 
-void PlacementSolver::reportPlacements(Plan& plan) const {
+void PlacementSolver::recordPlacements(Plan& plan) const {
   plan.placements.resize(cluster_.groups.size());
   for (int index = 0; index < placement_.replicaCount(); ++index) {
     const Replica& replica = placement_.replica(index);
--- a/src/rebalance/placement_solver.hpp
+++ b/src/rebalance/placement_solver.hpp
@@ -10,15 +10,16 @@
 
 namespace paddletrack::rebalance {
 
-/// Decides where the replicas of the groups should lie, so that little data moves and every engine keeps its
-/// limits: replicas stay at their holders where they may; engines over their limits shed the cheapest set;
-/// unassigned replicas are placed, the hardest first; a local search then improves the result.
+/// Computes a placement of the groups' replicas that moves little data and keeps every engine within its
+/// limits. Replicas stay on their current holders where allowed; engines over their limits shed the cheapest
+/// set of replicas; unassigned replicas are placed, the most difficult first; a local search then improves
+/// the result.
 class PlacementSolver {
  public:
-  /// Keeps references to both arguments, which must outlive it. `cluster` must be canonical.
+  /// Keeps references to both arguments, which must outlive the object. `cluster` must be canonical.
   PlacementSolver(const ClusterView& cluster, const PlanOptions& options);
 
-  /// Sets the placements of `plan` and what it says about limits that could not be kept.
+  /// Sets the placements of `plan` and its counts of unplaced replicas and exceeded limits.
   void solve(Plan& plan);
 
  private:
@@ -42,10 +43,10 @@
   std::size_t placeBeyondLimits();
   bool returnToHolder(int replicaIndex);
   void evictNewReplicas(int engine, std::vector<int>& displaced);
-  bool placeWhereRoomIs(int replicaIndex);
+  bool placeIgnoringLoad(int replicaIndex);
 
-  void reportLimits(Plan& plan) const;
-  void reportPlacements(Plan& plan) const;
+  void recordExceededLimits(Plan& plan) const;
+  void recordPlacements(Plan& plan) const;
 
   const ClusterView& cluster_;
   const PlanOptions& options_;
--- a/src/rebalance/placement_state.cpp
+++ b/src/rebalance/placement_state.cpp
@@ -3,8 +3,8 @@
 namespace paddletrack::rebalance {
 namespace {
 
-// A group that was moved recently is moved again only where others do not do: its size counts this many
-// times.
+// Factor on the size of a recently moved group in the move cost, so that it is moved again only if moving
+// other groups is not enough.
 constexpr std::int64_t kRecentMovePenalty = 4;
 
 }  // namespace
--- a/src/rebalance/placement_state.hpp
+++ b/src/rebalance/placement_state.hpp
@@ -12,14 +12,14 @@
 
 constexpr int kUnassigned = -1;
 
-/// One replica that a group should have. Its group's read rate is divided evenly among the replicas.
+/// One of the wanted replicas of a group. The group's read rate is divided evenly among its replicas.
 struct Replica {
   std::uint32_t group = 0;
   int engine = kUnassigned;
   std::int64_t readRate = 0;
 };
 
-/// Load and memory of one engine under the current assignment.
+/// Load and memory use of one engine under the current assignment.
 struct EngineLoad {
   std::int64_t load = 0;
   std::int64_t loadLimit = 0;
@@ -50,41 +50,44 @@
   std::vector<int> readyEngines() const;
   std::vector<int> unassignedReplicas() const;
 
-  /// Assigns an unassigned replica; the limits are not checked.
+  /// Assigns an unassigned replica without checking limits.
   void assign(int replicaIndex, int engine);
-  /// Takes the replica off its engine; does nothing if it is unassigned.
+  /// Removes the replica from its engine; does nothing if it is unassigned.
   void unassign(int replicaIndex);
-  /// As assign and unassign, but without an entry in EngineLoad::replicas. A search that assigns and undoes
-  /// at every node uses them.
+  /// Like assign and unassign, but without updating EngineLoad::replicas. Meant for searches that assign and
+  /// undo at every node.
   void assignTentatively(int replicaIndex, int engine, Bytes requiredBytes);
   void undoTentativeAssignment(int replicaIndex, int engine, Bytes requiredBytes);
-  /// Raises the load limit of each engine whose load is below the trigger to its load, so that it need not
-  /// give groups away.
+  /// Raises the load limit of each engine whose load does not exceed the trigger to at least its current
+  /// load, so that it does not have to shed groups.
   void tolerateLoadsBelowTrigger();
 
   bool isHeldBy(const Replica& replica, int engine) const;
   bool isAllowed(const Replica& replica, int engine) const;
   /// Returns true if another replica of the same group is assigned to `engine`.
   bool hasReplicaOn(const Replica& replica, int engine) const;
-  /// Returns true if the replica can be assigned without a transfer of data.
+  /// Returns true if an allowed engine already holds the group, so that the replica can be assigned without a
+  /// transfer.
   bool hasAllowedHolder(const Replica& replica) const;
   bool hasRoom(const Replica& replica, int engine) const;
   /// Returns true if the replica fits both the memory and the load limit of `engine`.
   bool hasCapacity(const Replica& replica, int engine) const;
-  /// Returns true if the relative load of `first` is the higher one.
+  /// Returns true if `first` has a higher load relative to its load limit than `second`.
   bool isMoreLoaded(int first, int second) const;
-  /// Returns true if the replica is unassigned, or causes a transfer that a holder would avoid.
+  /// Returns true if the replica is unassigned, or needs a transfer although an allowed engine already holds
+  /// its group.
   bool isMisplaced(const Replica& replica) const;
 
   Bytes requiredBytes(const Replica& replica, int engine) const;
-  /// The cost of having the replica on `engine`: 0 at a holder, else the bytes moved plus 1, multiplied for a
-  /// group that was moved recently.
+  /// Returns the cost of placing the replica on `engine`: 0 on a holder, else the bytes moved plus 1. The
+  /// bytes of a recently moved group are multiplied by a penalty if an allowed engine holds it.
   std::int64_t moveCost(const Replica& replica, int engine) const;
-  /// The cost of taking the replica off its engine.
+  /// Returns the cost of removing the replica from its engine.
   std::int64_t shedCost(const Replica& replica) const;
-  /// The share of all memory and all load that the replica takes: the larger, the harder to place.
+  /// Returns the replica's share of the total memory plus its share of the total load limit. The larger the
+  /// sum, the more difficult it is to place.
   double placementDifficulty(const Replica& replica) const;
-  /// Sorts replica indices by difficulty, the hardest first; equal ones keep their order.
+  /// Sorts replica indices by descending difficulty; the sort is stable.
   void sortByDifficulty(std::vector<int>& replicaIndices) const;
 
  private:
@@ -97,11 +100,11 @@
   std::vector<EngineLoad> engineLoads_;
   std::vector<std::vector<int>> replicasByGroup_;
   std::vector<Replica> replicas_;
-  double totalCapacityBytes_ = 1;  // starts at 1 to be a valid divisor
+  double totalCapacityBytes_ = 1;  // starts at 1, so that it can be a divisor
   double totalLoadLimit_ = 1;
 };
 
-// The predicates that every search node evaluates are inline.
+// The functions that are called for every search node are inline.
 
 inline bool PlacementState::isHeldBy(const Replica& replica, int engine) const {
   const auto& holders = groupOf(replica).holders;
--- a/src/rebalance/plan.cpp
+++ b/src/rebalance/plan.cpp
@@ -10,7 +10,7 @@
 namespace paddletrack::rebalance {
 namespace {
 
-// Derives the moves, not yet ordered, that lead from the current holders to the solved placements.
+// Derives the moves from the current holders to the computed placements, in no particular order.
 class MoveDerivation {
  public:
   MoveDerivation(const ClusterView& cluster, Plan& plan) : cluster_(cluster), plan_(plan) {}
@@ -23,8 +23,8 @@
  private:
   bool isReady(std::uint32_t engine) const { return cluster_.engines[engine].state == EndpointState::ready; }
 
-  // A ready engine outside the group's placement constraints receives no requests for it, so its replica
-  // is released without waiting for a target.
+  // A ready engine that violates the group's placement constraints receives no requests for the group, so its
+  // replica is released without waiting for a target.
   bool isMisplacedHolder(const GroupSnapshot& group, std::uint32_t holder) const {
     return isReady(holder) && !canHold(group, cluster_.engines[holder]);
   }
@@ -33,7 +33,7 @@
     const GroupSnapshot& group = cluster_.groups[groupIndex];
     for (const std::uint32_t holder : group.holders)
       if (isMisplacedHolder(group, holder)) moves_.push_back({groupIndex, holder, {}, 0, {}});
-    // A group without a placement stays where it is.
+    // A group without a placement stays on its current holders.
     if (plan_.placements[groupIndex].empty()) return;
     addForcedBytes(groupIndex);
     addTransfers(groupIndex);
@@ -50,7 +50,8 @@
       plan_.forcedBytes += group.size * static_cast<Bytes>(placementSize - retainableHolders);
   }
 
-  // Pairs each engine that loses the group with one that receives it; what is left over has only one side.
+  // Pairs each engine that loses the group with one that receives it. If the numbers differ, the remaining
+  // moves have only a source or only a target.
   void addTransfers(std::uint32_t groupIndex) {
     const GroupSnapshot& group = cluster_.groups[groupIndex];
     const auto& placement = plan_.placements[groupIndex];
--- a/src/rebalance/plan.hpp
+++ b/src/rebalance/plan.hpp
@@ -1,5 +1,5 @@
-// The plan that redistributes table groups over the engines: its options, its moves and its result. The
-// computation does no I/O and reads no clock.
+// The plan that redistributes table groups over the engines: its options, moves and result. Computing a plan
+// performs no I/O and reads no clock.
 #pragma once
 
 #include <cstddef>
@@ -12,25 +12,27 @@
 namespace paddletrack::rebalance {
 
 struct PlanOptions {
-  /// Load that an engine may have after the plan, in per cent over the lower bound of the best load.
+  /// Maximum load of an engine after the plan, in percent above the lower bound (see LoadLowerBound).
   int maxOverloadPercent = 25;
-  /// Load from which an engine gives groups away, in per cent over the same lower bound. Values below
-  /// `maxOverloadPercent` count as `maxOverloadPercent`.
+  /// Load above which an engine sheds groups, in percent above the same lower bound. Values below
+  /// `maxOverloadPercent` are treated as `maxOverloadPercent`.
   int triggerOverloadPercent = 25;
-  /// A plan uses 1/headroomDivisor of an engine's headroom and of the memory that its moves free.
+  /// A plan may use 1/headroomDivisor of an engine's headroom and of the memory that the plan's moves free on
+  /// it.
   int headroomDivisor = 1;
-  /// Limit of the search effort: the number of search nodes that are expanded.
+  /// Limit of the search effort, as a number of expanded search nodes.
   int workBudget = 1'000'000;
 };
 
-/// The transfer of one group. Without a `target` no data is read: the source only gives up its replica,
+/// The transfer of one group. Without a `target`, no data is loaded: the source only releases its replica,
 /// because other engines serve the group.
 struct Move {
   std::uint32_t group = 0;  ///< Index into ClusterView::groups.
-  /// Indices into ClusterView::engines. The source gives up its replica once the target holds the group.
+  /// Indices into ClusterView::engines. The source releases its replica once the target holds the group.
   std::optional<std::uint32_t> source, target;
-  Bytes bytes = 0;  ///< Data that the target reads; 0 without a target.
-  /// Indices into Plan::moves, all smaller than this move's own, of the moves that have to finish first.
+  Bytes bytes = 0;  ///< Data that the target loads; 0 without a target.
+  /// Indices into Plan::moves of the moves that must finish before this one starts; all are smaller than this
+  /// move's own index.
   std::vector<std::uint32_t> dependencies;
 };
 
@@ -38,14 +40,16 @@
   std::vector<Move> moves;
   /// The engines that serve each group once all moves are done, as sorted indices into ClusterView::engines.
   std::vector<std::vector<std::uint32_t>> placements;
-  Bytes totalBytes = 0;  ///< Data that all moves read.
-  /// The part of `totalBytes` that no plan avoids, because no engine that may serve the group holds it.
+  Bytes totalBytes = 0;  ///< Data that is loaded by all moves.
+  /// The part of `totalBytes` that no plan can avoid, because too few of the engines that may serve the group
+  /// hold it.
   Bytes forcedBytes = 0;
-  /// The part of `totalBytes` for stops at a third engine, where no order of direct moves has enough room.
+  /// The part of `totalBytes` for detours through a third engine, used if no order of direct moves has enough
+  /// memory.
   Bytes detourBytes = 0;
-  std::size_t overfullEngines = 0;   ///< Engines that hold more than they may and cannot give enough away.
-  std::size_t unplacedReplicas = 0;  ///< Replicas for which no engine has room.
-  std::size_t deferredMoves = 0;     ///< Moves that were left out, because no order has room for them.
+  std::size_t overfullEngines = 0;   ///< Engines over their capacity that cannot shed enough.
+  std::size_t unplacedReplicas = 0;  ///< Replicas for which no engine has enough memory.
+  std::size_t deferredMoves = 0;     ///< Moves left out because no order has enough memory for them.
   bool isBalanced = true;            ///< No engine exceeds its load limit.
 
   /// Returns true if every replica is placed within all limits.
@@ -54,8 +58,8 @@
   }
 };
 
-/// Computes where the replicas should lie and in which order groups move there. `cluster` must be canonical
-/// (see canonicalize); equal views and options give equal plans on every controller.
+/// Computes the target placement of the replicas and the order of the moves that lead to it. `cluster` must
+/// be canonical (see canonicalize). Equal views and options produce equal plans on every controller.
 Plan computePlan(const ClusterView& cluster, const PlanOptions& options);
 
 }  // namespace paddletrack::rebalance
--- a/src/rebalance/plan_follower.cpp
+++ b/src/rebalance/plan_follower.cpp
@@ -7,7 +7,7 @@
 namespace paddletrack::rebalance {
 namespace {
 
-constexpr std::size_t kMaxRememberedMoves = 100'000;  // groups whose last move is remembered
+constexpr std::size_t kMaxRememberedMoves = 100'000;  // number of groups whose last move is remembered
 
 bool isHeldBy(const GroupSnapshot* group, std::uint32_t engine) {
   return group && std::ranges::binary_search(group->holders, engine);
@@ -19,10 +19,10 @@
   static constexpr std::array<std::string_view, 7> kNames{
       "followed",
       "done",
-      "given up: its time is over",
-      "given up: an engine's standing has changed",
-      "given up: an engine has less headroom than planned for",
-      "given up: a move is stuck",
+      "plan abandoned: epoch ended",
+      "plan abandoned: an engine was added, removed, restarted or changed its state",
+      "plan abandoned: an engine has less headroom than planned",
+      "plan abandoned: a move timed out",
       "replaced"};
   return kNames[static_cast<std::size_t>(outcome)];
 }
@@ -38,7 +38,7 @@
   update(now, view_);
 }
 
-// Open moves count as not done, because it is not known whether the target holds the group.
+// Open moves are treated as not done, because it is unknown whether their targets already hold the groups.
 void PlanFollower::abandon(PlanOutcome reason) {
   if (!isActive()) return;
   outcome_ = reason;
@@ -47,8 +47,9 @@
   updatePreferredEngines();
 }
 
-// The plan does not hold any more once the set of engines, the state of one or its capacity has changed, or
-// once an engine has less headroom than the moves to it still need.
+// The plan is no longer valid if the set of engines or the state of an engine has changed, if an engine has
+// restarted or has less capacity than planned, or if the headroom of a target of open moves is negative.
+// Returns std::nullopt if the plan is still valid.
 std::optional<PlanOutcome> PlanFollower::findClusterChange(const ClusterView& observed) const {
   if (observed.engines.size() != view_.engines.size()) return PlanOutcome::engineStateChanged;
   std::vector<Bytes> incomingBytes(view_.engines.size());
@@ -95,8 +96,8 @@
   updatePreferredEngines();
 }
 
-// Returns the observed state of each planned group, null for a group that is not observed any more. Both
-// views are sorted by group number.
+// Returns the observed state of each planned group, or nullptr for a group that is no longer observed. Relies
+// on both views being sorted by group number.
 std::vector<const GroupSnapshot*> PlanFollower::matchPlannedGroups(const ClusterView& observed) const {
   std::vector<const GroupSnapshot*> groups(view_.groups.size());
   auto candidate = observed.groups.begin();
@@ -108,7 +109,7 @@
   return groups;
 }
 
-// Returns false as soon as an open move has timed out.
+// Marks open moves that have finished as done. Returns false if an open move has timed out.
 bool PlanFollower::closeFinishedMoves(Duration now, const std::vector<const GroupSnapshot*>& groups) {
   for (auto openMove = openMoves_.begin(); openMove != openMoves_.end();) {
     const auto& [moveIndex, openedAt] = *openMove;
@@ -125,7 +126,7 @@
   return true;
 }
 
-// A group that has arrived already is part of the observed headroom.
+// The observed headroom already accounts for groups that have arrived, so they are not subtracted again.
 PlanFollower::TransferSlots PlanFollower::computeTransferSlots(
     const ClusterView& observed, const std::vector<const GroupSnapshot*>& groups) const {
   TransferSlots slots;
@@ -158,7 +159,7 @@
   });
 }
 
-// An engine that has less headroom than planned for gets the move later, or the plan times out.
+// If the target has less headroom than planned, the move opens later, or not at all before the plan ends.
 bool PlanFollower::tryReserveTransfer(std::uint32_t target, Bytes bytes, TransferSlots& slots) const {
   const unsigned maxIncomingMoves = view_.engines[target].warmingUp ? 1 : limits_.maxOpenMovesPerEngine;
   if (slots.incomingMovesTotal >= limits_.maxOpenMoves) return false;
@@ -175,7 +176,7 @@
   lastMovedAt_[groupId] = now;
 }
 
-// Until its move opens, a group's requests go to its holders; from then on to the target in place of the
+// Until its move opens, requests for a group prefer its current holders; after that, the target replaces the
 // source.
 void PlanFollower::updatePreferredEngines() {
   std::vector<std::vector<std::uint32_t>> enginesByGroup;
--- a/src/rebalance/plan_follower.hpp
+++ b/src/rebalance/plan_follower.hpp
@@ -1,5 +1,6 @@
-// Follows a plan: opens its moves step by step, as those before them are observed to be done, and abandons
-// the plan once the fleet is not any more as it was planned for. No I/O; the caller passes the time.
+// Follows a plan: opens each move once the moves that it depends on are observed to be done, and abandons the
+// plan when the fleet no longer matches the planned view. Performs no I/O; the caller passes the current
+// time.
 #pragma once
 
 #include <chrono>
@@ -15,15 +16,15 @@
 
 namespace paddletrack::rebalance {
 
-/// Limits of the moves that read data and are open at the same time.
+/// Limits of the concurrently open moves that load data.
 struct MoveLimits {
   unsigned maxOpenMoves = 8;
-  unsigned maxOpenMovesPerEngine = 2;  ///< Moves to one engine; 1 to an engine that is warming up.
-  /// A move that is open for longer is stuck, and the plan is abandoned.
+  unsigned maxOpenMovesPerEngine = 2;  ///< Moves to one engine; an engine that is warming up is limited to 1.
+  /// The plan is abandoned if a move stays open for longer than this.
   Duration moveTimeout{std::chrono::seconds(10)};
 };
 
-/// The state of a plan: followed, done, or the reason why it was abandoned.
+/// The state of a plan: in progress, completed, or the reason why it was abandoned.
 enum class PlanOutcome : std::uint8_t {
   inProgress,
   completed,
@@ -34,18 +35,20 @@
   replaced
 };
 
-/// Returns the text for log lines.
+/// Returns the description of the outcome for log lines.
 std::string_view nameOf(PlanOutcome outcome);
 
 class PlanFollower {
  public:
   explicit PlanFollower(const MoveLimits& limits) : limits_(limits) {}
 
-  /// Follows `plan`, computed from `view`, until `deadline`. A plan in progress is abandoned as replaced.
+  /// Follows `plan`, which was computed from `view`, until `deadline`. A plan in progress is abandoned with
+  /// the outcome PlanOutcome::replaced.
   void start(Duration now, ClusterView view, Plan plan, Duration deadline);
 
-  /// Takes the cluster as it is observed now, in canonical order, and opens the moves that may open. A
-  /// planned group or engine that is not observed counts as gone.
+  /// Updates the plan's progress from `observed`, the current state of the cluster in canonical order, and
+  /// opens the moves that may open. A planned group or engine that is missing from `observed` is considered
+  /// removed.
   void update(Duration now, const ClusterView& observed);
   void abandon(PlanOutcome reason);
 
@@ -56,24 +59,24 @@
   const Plan& plan() const { return plan_; }
   const ClusterView& plannedView() const { return view_; }
 
-  /// Returns the names of the engines that requests for a group should prefer, or null for no preference. An
-  /// engine that is to lose a group is preferred until that move opens. Once the plan has ended, these are
-  /// the engines that hold the group by then.
+  /// Returns the names of the engines that requests for a group should prefer, or nullptr if there is no
+  /// preference. The source of a move is preferred until the move opens. After the plan has ended, these are
+  /// the engines that are known to hold the group.
   const std::vector<std::string>* preferredEngines(std::uint32_t group) const {
     const auto found = preferredEngines_.find(group);
     return found == preferredEngines_.end() ? nullptr : &found->second;
   }
 
-  /// Returns true if a move of the group opened less than `restDuration` ago. Remembers a limited number of
-  /// groups.
-  bool isRecentlyMoved(Duration now, std::uint32_t group, Duration restDuration) const {
+  /// Returns true if a move that loads the group on a target opened less than `cooldown` ago. Moves of only a
+  /// limited number of groups are remembered.
+  bool isRecentlyMoved(Duration now, std::uint32_t group, Duration cooldown) const {
     const auto found = lastMovedAt_.find(group);
-    return found != lastMovedAt_.end() && now - found->second < restDuration;
+    return found != lastMovedAt_.end() && now - found->second < cooldown;
   }
 
  private:
   enum class MoveState : std::uint8_t { pending, open, done };
-  // What the open moves leave for further ones.
+  // Capacity that the open moves leave for additional moves.
   struct TransferSlots {
     std::vector<Bytes> remainingHeadroom;  // by engine
     std::vector<unsigned> incomingMoves;   // by engine
@@ -98,7 +101,7 @@
   Duration deadline_{0};
   PlanOutcome outcome_ = PlanOutcome::completed;
   std::vector<MoveState> moveStates_;
-  std::map<std::uint32_t, Duration> openMoves_;  // opening time by index of the move
+  std::map<std::uint32_t, Duration> openMoves_;  // opening time, by move index
   std::size_t completedMoves_ = 0;
   std::map<std::uint32_t, std::vector<std::string>> preferredEngines_;  // by group number
   std::map<std::uint32_t, Duration> lastMovedAt_;                       // by group number
--- a/src/rebalance/rebalance_executor.cpp
+++ b/src/rebalance/rebalance_executor.cpp
@@ -8,19 +8,19 @@
 namespace {
 
 constexpr std::chrono::milliseconds kUpdateInterval{200};
-// An engine that has not read a group for this long has given it up.
+// An engine that has not read a group for this long is considered to have released it.
 constexpr Duration kReadIdleTimeout{std::chrono::milliseconds(1500)};
-constexpr int kRestEpochs = 3;  // epochs in which a moved group counts as recently moved
+constexpr int kMoveCooldownEpochs = 3;  // epochs for which a moved group is considered recently moved
 constexpr int kTriggerOverloadPercent = 40;
 constexpr int kHeadroomDivisor = 2;
-constexpr int kWorkBudget = 200'000;  // planning takes time from the requests on the same thread
+constexpr int kWorkBudget = 200'000;  // bounds planning time, because requests are handled on the same thread
 
 Duration systemWallTime() {
   return std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
 }
 
-// Returns the start of the engine's process in seconds of the wall clock, 0 if it is not known. Controllers'
-// values differ by a few milliseconds, so it is rounded.
+// Returns the start of the engine's process in seconds of the wall clock, or 0 if it is unknown. The value is
+// rounded, because the controllers' values differ by a few milliseconds.
 std::int64_t engineStartTime(const routing::EngineEndpoint& engine, Duration now, Duration wallTime) {
   if (!engine.endpoint.startedAt) return 0;
   const Duration startedAt = wallTime - (now - *engine.endpoint.startedAt);
@@ -57,9 +57,9 @@
 
 void RebalanceExecutor::onAttemptStarted(std::uint32_t dataSet, const routing::EngineEndpoint& engine) {
   const auto key = std::pair(dataSet, engine.id);
-  auto counter = reads_.find(key);
-  if (counter == reads_.end() && reads_.size() >= kMaxReadCounters) return;
-  if (counter == reads_.end()) counter = reads_.emplace(key, ReadCounter{}).first;
+  auto counter = readCounters_.find(key);
+  if (counter == readCounters_.end() && readCounters_.size() >= kMaxReadCounters) return;
+  if (counter == readCounters_.end()) counter = readCounters_.emplace(key, ReadCounter{}).first;
   const std::int64_t engineStartedAt = engineStartTime(engine, router_.now(), wallTime());
   if (counter->second.engineStartedAt != engineStartedAt)
     counter->second = {0, 0, Duration{0}, engineStartedAt};
@@ -86,7 +86,7 @@
         static_cast<std::int64_t>(deployment.machineTypes[endpoint.machineType].cores),
         options_.engineCapacity};
   });
-  for (const auto& [key, reads] : reads_) {
+  for (const auto& [key, reads] : readCounters_) {
     const std::int64_t readCount = reads.previousEpoch + (includesCurrentEpoch ? reads.currentEpoch : 0);
     const auto engineStart = startedAtByEngine.find(key.second);
     if (readCount == 0 || engineStart == startedAtByEngine.end() ||
@@ -95,13 +95,14 @@
     ControllerReport::GroupReport& groupReport = report.groups[key.first];
     groupReport.size = options_.groupSize;
     groupReport.readsByEngine[key.second] = readCount;
-    groupReport.recentlyMoved =
-        follower_.isRecentlyMoved(wallTime(), key.first, kRestEpochs * options_.epochSchedule.epochDuration);
+    groupReport.recentlyMoved = follower_.isRecentlyMoved(
+        wallTime(), key.first, kMoveCooldownEpochs * options_.epochSchedule.epochDuration);
   }
   return report;
 }
 
-// The planned groups with the holders that this controller's own endpoint list and reads show now.
+// Returns the planned groups with their current holders according to this controller's own endpoint list and
+// reads.
 ClusterView RebalanceExecutor::observeCluster() const {
   const ControllerReport report = buildReport(ReportPeriod::previousAndCurrentEpoch);
   ClusterView observed = buildClusterView({{"", report}}, {});
@@ -121,12 +122,12 @@
   return observed;
 }
 
-// An engine has received a group once it has read it. It has given the group up once it is not preferred any
-// more and has not read it for a while.
+// An engine counts as a holder once it has read the group. It counts as having released the group when it is
+// no longer preferred for it and has not read it for kReadIdleTimeout.
 bool RebalanceExecutor::isObservedHolder(const GroupSnapshot& group, std::uint32_t engineIndex,
                                          const std::string& engineName, Duration now) const {
-  const auto counter = reads_.find({group.groupId, engineName});
-  if (counter != reads_.end() && now - counter->second.lastReadAt < kReadIdleTimeout) return true;
+  const auto counter = readCounters_.find({group.groupId, engineName});
+  if (counter != readCounters_.end() && now - counter->second.lastReadAt < kReadIdleTimeout) return true;
   if (!std::ranges::binary_search(group.holders, engineIndex)) return false;
   const auto* preferredEngines = follower_.preferredEngines(group.groupId);
   return !preferredEngines || std::ranges::find(*preferredEngines, engineName) != preferredEngines->end();
@@ -144,7 +145,7 @@
   if (follower_.isActive()) followPlan(wallNow);
 }
 
-// The reads before the first epoch boundary do not cover a whole epoch and are not published.
+// Reads before the first epoch boundary are not published, because they do not cover a full epoch.
 void RebalanceExecutor::startEpoch(std::uint64_t epoch) {
   advanceReadCounters();
   const bool isFirstEpoch = publishedEpoch_ == 0;
@@ -154,9 +155,9 @@
 }
 
 void RebalanceExecutor::advanceReadCounters() {
-  for (auto counter = reads_.begin(); counter != reads_.end();) {
+  for (auto counter = readCounters_.begin(); counter != readCounters_.end();) {
     counter->second.previousEpoch = std::exchange(counter->second.currentEpoch, 0);
-    counter = counter->second.previousEpoch == 0 ? reads_.erase(counter) : std::next(counter);
+    counter = counter->second.previousEpoch == 0 ? readCounters_.erase(counter) : std::next(counter);
   }
 }
 
@@ -185,16 +186,16 @@
   Plan plan = computePlan(view_, options);
   logger_.info("rebalance", "epoch " + std::to_string(epoch) + ": " + std::to_string(plan.moves.size()) +
                                 " moves, " + std::to_string(plan.totalBytes) + " bytes, " +
-                                std::to_string(plan.forcedBytes) + " of them forced, " +
+                                std::to_string(plan.forcedBytes) + " of them unavoidable, " +
                                 std::to_string(plan.unplacedReplicas + plan.deferredMoves) +
-                                " left out; view " + std::to_string(viewDigest_));
+                                " replicas unplaced or deferred; view " + std::to_string(viewDigest_));
   follower_.start(wallNow, view_, std::move(plan), options_.epochSchedule.epochDeadline(epoch));
 }
 
 void RebalanceExecutor::followPlan(Duration wallNow) {
   follower_.update(wallNow, observeCluster());
-  const bool hasFailed = !follower_.isActive() && follower_.outcome() != PlanOutcome::epochEnded;
-  if (hasFailed) logger_.info("rebalance", std::string(nameOf(follower_.outcome())));
+  const bool hasEndedEarly = !follower_.isActive() && follower_.outcome() != PlanOutcome::epochEnded;
+  if (hasEndedEarly) logger_.info("rebalance", std::string(nameOf(follower_.outcome())));
 }
 
 }  // namespace paddletrack::rebalance
--- a/src/rebalance/rebalance_executor.hpp
+++ b/src/rebalance/rebalance_executor.hpp
@@ -1,4 +1,4 @@
-// Runs the rebalancing of one controller: counts reads, publishes them, takes part in the agreement on a
+// Runs rebalancing on one controller: counts reads and publishes them, participates in the agreement on a
 // view, and biases the placement of requests towards the engines that the plan prefers. Everything runs on
 // the scheduler's thread.
 #pragma once
@@ -14,16 +14,17 @@
 namespace paddletrack::rebalance {
 
 struct RebalanceOptions {
-  Bytes engineCapacity = 0;  ///< Memory of each engine for the groups that it keeps warm.
-  Bytes groupSize = 0;       ///< The assumed size of every group.
+  Bytes engineCapacity = 0;  ///< Memory of each engine for the groups that it keeps in its cache.
+  Bytes groupSize = 0;       ///< Assumed size of every group.
   EpochSchedule epochSchedule;
-  double placementBias = 0.5;  ///< Factor on the score of an engine that the request's group should be on.
+  /// Factor on the score of an engine that the plan prefers for the request's group.
+  double placementBias = 0.5;
 };
 
 class RebalanceExecutor final : private routing::RequestRouter::PlacementBiasSource {
  public:
-  /// Registers with the router until it is destroyed. Keeps references to all arguments but `gossipClock` and
-  /// `options`; they must outlive it.
+  /// Registers with the router until destruction. Keeps references to all arguments except `gossipClock` and
+  /// `options`, which are copied; the others must outlive the object.
   RebalanceExecutor(transport::Scheduler& scheduler, routing::RequestRouter& router, gossip::Store& store,
                     std::function<Duration()> gossipClock, const RebalanceOptions& options,
                     const Logger& logger);
@@ -51,9 +52,9 @@
   struct ReadCounter {
     std::int64_t currentEpoch = 0, previousEpoch = 0;
     Duration lastReadAt{0};
-    std::int64_t engineStartedAt = 0;  // start of the process that was read from
+    std::int64_t engineStartedAt = 0;  // start time of the engine process that served the reads
   };
-  static constexpr std::size_t kMaxReadCounters = 50'000;  // pairs of group and engine
+  static constexpr std::size_t kMaxReadCounters = 50'000;  // (group, engine) pairs
 
   transport::Scheduler& scheduler_;
   routing::RequestRouter& router_;
@@ -63,10 +64,10 @@
   const Logger& logger_;
   PlanAgreement agreement_;
   PlanFollower follower_{MoveLimits{}};
-  std::map<std::pair<std::uint32_t, std::string>, ReadCounter> reads_;
-  std::uint64_t publishedEpoch_ = 0;  // the last epoch whose start was handled
-  std::uint64_t snapshotEpoch_ = 0;   // the last epoch whose view was taken
-  std::uint64_t startedEpoch_ = 0;    // the last epoch whose plan was started
+  std::map<std::pair<std::uint32_t, std::string>, ReadCounter> readCounters_;
+  std::uint64_t publishedEpoch_ = 0;  // last epoch whose start was handled
+  std::uint64_t snapshotEpoch_ = 0;   // last epoch for which a view was built
+  std::uint64_t startedEpoch_ = 0;    // last epoch whose plan was started
   ClusterView view_;
   std::uint64_t viewDigest_ = 0;
   transport::ScheduledCall timer_;
--- a/src/rebalance/shed_selection.cpp
+++ b/src/rebalance/shed_selection.cpp
@@ -8,7 +8,7 @@
 
 constexpr int kMaxNodes = 2'000;
 
-// The part of one excess that a candidate's share takes away, from 0 to 1.
+// Returns the fraction of the excess that removing the share eliminates, from 0 to 1.
 double reliefRatio(std::int64_t share, std::int64_t excess) {
   if (excess <= 0) return 0;
   return static_cast<double>(std::min(share, excess)) / static_cast<double>(excess);
@@ -32,10 +32,10 @@
 std::vector<int> ShedSelection::run() {
   sortByReliefPerCost();
   visit(0, excess_);
-  if (bestCost_ != INT64_MAX) return best_;
-  std::vector<int> all;
-  for (const ShedCandidate& candidate : candidates_) all.push_back(candidate.replica);
-  return all;
+  if (bestCost_ != INT64_MAX) return bestReplicas_;
+  std::vector<int> allReplicas;
+  for (const ShedCandidate& candidate : candidates_) allReplicas.push_back(candidate.replica);
+  return allReplicas;
 }
 
 void ShedSelection::sortByReliefPerCost() {
@@ -45,23 +45,23 @@
 }
 
 void ShedSelection::visit(std::size_t depth, const EngineExcess& remaining) {
-  if (cost_ >= bestCost_) return;
+  if (chosenCost_ >= bestCost_) return;
   --nodesLeft_;
   const bool hasSolution = bestCost_ != INT64_MAX;
   if (nodesLeft_ < 0 && hasSolution) return;
-  if (remaining.isRelieved()) {
-    bestCost_ = cost_;
-    best_ = chosen_;
+  if (remaining.isWithinLimits()) {
+    bestCost_ = chosenCost_;
+    bestReplicas_ = chosenReplicas_;
     return;
   }
   if (depth == candidates_.size()) return;
   const ShedCandidate& candidate = candidates_[depth];
   if (reducesExcess(candidate, remaining)) {
-    chosen_.push_back(candidate.replica);
-    cost_ += candidate.cost;
+    chosenReplicas_.push_back(candidate.replica);
+    chosenCost_ += candidate.cost;
     visit(depth + 1, {remaining.load - candidate.readRate, remaining.bytes - candidate.size});
-    cost_ -= candidate.cost;
-    chosen_.pop_back();
+    chosenCost_ -= candidate.cost;
+    chosenReplicas_.pop_back();
   }
   visit(depth + 1, remaining);
 }
--- a/src/rebalance/shed_selection.hpp
+++ b/src/rebalance/shed_selection.hpp
@@ -8,7 +8,7 @@
 
 namespace paddletrack::rebalance {
 
-/// A replica that an engine over its limits could give away.
+/// A replica that an engine over its limits could shed.
 struct ShedCandidate {
   int replica = 0;
   std::int64_t readRate = 0;
@@ -16,21 +16,22 @@
   std::int64_t cost = 0;
 };
 
-/// What an engine has beyond its limits; values of 0 or less mean that the limit is kept.
+/// The amount by which an engine exceeds its limits; a value of 0 or less means that the limit is not
+/// exceeded.
 struct EngineExcess {
   std::int64_t load = 0;
   Bytes bytes = 0;
 
-  bool isRelieved() const { return load <= 0 && bytes <= 0; }
+  bool isWithinLimits() const { return load <= 0 && bytes <= 0; }
 };
 
-/// Selects the cheapest set of replicas whose removal takes an engine back within its limits, by branch and
-/// bound over a limited number of nodes.
+/// Selects the cheapest set of replicas whose removal brings an engine back within its limits, using branch
+/// and bound with a limited number of nodes.
 class ShedSelection {
  public:
   ShedSelection(std::vector<ShedCandidate> candidates, const EngineExcess& excess);
 
-  /// Returns the indices of the replicas to remove: all candidates if no set of them is enough.
+  /// Returns the indices of the replicas to remove, or of all candidates if no set of them is sufficient.
   std::vector<int> run();
 
  private:
@@ -39,8 +40,8 @@
 
   std::vector<ShedCandidate> candidates_;
   EngineExcess excess_;
-  std::vector<int> chosen_, best_;
-  std::int64_t cost_ = 0;
+  std::vector<int> chosenReplicas_, bestReplicas_;
+  std::int64_t chosenCost_ = 0;
   std::int64_t bestCost_ = INT64_MAX;
   int nodesLeft_;
 };
--- a/src/rebalance/window_search.cpp
+++ b/src/rebalance/window_search.cpp
@@ -51,7 +51,7 @@
   }
 }
 
-// The engines that the replica may use, the cheapest first.
+// Returns the engines that may hold the replica, the cheapest first.
 std::vector<WindowSearch::Candidate> WindowSearch::candidatesOf(std::size_t position,
                                                                 const std::vector<int>& engines) const {
   const Replica& replica = placement_.replica(replicaIndices_[position]);
@@ -71,8 +71,9 @@
   return candidates;
 }
 
-// A placement with fewer unplaced replicas is better at any cost, so the cost still to come counts only once
-// no fewer are unplaced.
+// A placement with fewer unplaced replicas is better at any cost, and replicas that are still to be visited
+// may remain unplaced at no cost, so the lower bound includes the remaining move cost only if the number of
+// unplaced replicas is no longer lower than in the best placement.
 bool WindowSearch::canImprove(std::size_t depth) const {
   const bool hasFewerUnplaced = currentScore_.unplaced < bestScore_.unplaced;
   const Score lowerBound{currentScore_.unplaced,
--- a/src/rebalance/window_search.hpp
+++ b/src/rebalance/window_search.hpp
@@ -9,16 +9,17 @@
 
 namespace paddletrack::rebalance {
 
-/// Searches the assignments of some replicas to a few engines by branch and bound, all others left as they
-/// are: for fewer unplaced replicas first, then for a lower move cost.
+/// Searches the assignments of some replicas to a few engines by branch and bound, with all other replicas
+/// fixed. Minimizes the number of unplaced replicas first, then the move cost.
 class WindowSearch {
  public:
-  /// Changes `placement`, which must outlive the search. A replica may also stay on the engine it is on, if
-  /// that is not one of `engines`.
+  /// Modifies `placement`, which must outlive the search. A replica may also stay on its current engine, even
+  /// if that is not one of `engines`.
   WindowSearch(PlacementState& placement, const std::vector<int>& engines, std::vector<int> replicaIndices,
                int maxNodes);
 
-  /// Assigns the best placement found, or restores the previous one. Returns true if it is better.
+  /// Applies the best placement found and returns true, or restores the previous one and returns false if no
+  /// better one was found.
   bool run();
   int visitedNodes() const;
 
@@ -49,9 +50,9 @@
   // Parallel to replicaIndices_:
   std::vector<int> previousEngines_, chosenEngines_;
   std::vector<std::vector<Candidate>> candidates_;
-  // The lowest move cost of the replicas from a position on, each taken by itself.
+  // Sum of the lowest move costs of the replicas from a position onwards, ignoring capacity.
   std::vector<std::int64_t> remainingMinCost_;
-  std::vector<int> bestEngines_;  // empty: nothing better than the initial placement was found
+  std::vector<int> bestEngines_;  // empty if nothing better than the initial placement was found
   Score bestScore_, currentScore_;
 };
 
