--- a/src/routing/client_listener.cpp
+++ b/src/routing/client_listener.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::chrono::milliseconds kSlotRetryInterval{20};
-// When the connection limit is near, this part of the connections is kept for those that linger, lest each
-// new connection cut one of them short.
+// Near the connection limit, one in this many connections is reserved for lingering sessions; otherwise each
+// new connection would cut short a lingering one.
 constexpr std::size_t kLingerReserveDivisor = 16;
 
 }  // namespace
@@ -27,7 +27,7 @@
                    .sessions = ClientSessionList(scheduler)},
       listener_(std::in_place, scheduler, address),
       sessionTasks_(scheduler, [this](const char* message) {
-        environment_.logger.warning("client", Error(ErrorKind::unexpected, "a client's connection", message));
+        environment_.logger.warning("client", Error(ErrorKind::unexpected, "client connection", message));
       }) {
   sessionTasks_.spawn(acceptConnections());
 }
@@ -37,7 +37,7 @@
     if (isNearConnectionLimit()) evictSessionEarly();
     while (environment_.sessions.size() >= environment_.limits.maxConnections) {
       freeSlot();
-      // A session that cannot be closed now may have become idle by the next round.
+      // A session that cannot be closed now may be idle in the next iteration.
       co_await environment_.sessions.waitForSlot(environment_.scheduler.now() + kSlotRetryInterval);
     }
     try {
@@ -48,9 +48,9 @@
       }
       sessionTasks_.spawn(serveConnection(std::move(acceptedSocket)));
     } catch (const std::exception& error) {
-      // One connection could not be accepted; the next one may be.
+      // One failed accept does not stop the listener: the next connection may succeed.
       environment_.logger.warning("client",
-                                  Error(ErrorKind::acceptFailed, "a client's connection", error.what()));
+                                  Error(ErrorKind::acceptFailed, "client connection", error.what()));
     }
     co_await environment_.scheduler.yield();
   }
@@ -69,7 +69,7 @@
     }
     co_await session.linger();
   } catch (const std::exception& error) {
-    environment_.logger.warning("client", toError(error, "a client's connection"), {}, "connection closed: ");
+    environment_.logger.warning("client", toError(error, "client connection"), {}, "connection closed: ");
   }
 }
 
@@ -95,17 +95,18 @@
   return candidate;
 }
 
-// Makes room before the limit is reached, but not at the cost of a client that is about to send a request.
+// Frees a slot before the limit is reached, but does not evict a client that is about to send a request.
 void ClientListener::evictSessionEarly() {
   ClientSession* const candidate = findEvictableSession();
   if (candidate && !candidate->isIncoming()) candidate->requestClose();
 }
 
-// At the limit, idle connections must not keep other clients in the backlog.
+// At the limit, idle connections must not keep other clients waiting in the backlog.
 void ClientListener::freeSlot() {
   const ClientSessionList::Sessions& lingering = environment_.sessions.lingering();
   if (!lingering.empty()) {
-    // It has its responses, and of all lingering sessions it had the longest time to read them.
+    // All responses have been written to the oldest lingering session, and it has had the most time to read
+    // them.
     lingering.front()->shutDown();
   } else if (ClientSession* const candidate = findEvictableSession()) {
     candidate->requestClose();
@@ -126,10 +127,10 @@
 
 std::string ClientListener::formatCounts() const {
   const ClientCounts& counts = environment_.counts;
-  return "clients: " + std::to_string(connectionCount()) + " connected of " +
-         std::to_string(counts.accepted) + ", requests refused " + std::to_string(counts.rejectedRequests) +
-         ", closed unreadable " + std::to_string(counts.unreadable) + ", unfinished " +
-         std::to_string(counts.incomplete) + ", idle " + std::to_string(counts.idle) + ", for others " +
+  return "clients: " + std::to_string(connectionCount()) + " connected, accepted " +
+         std::to_string(counts.accepted) + ", invalid requests " + std::to_string(counts.rejectedRequests) +
+         ", closed for protocol errors " + std::to_string(counts.unreadable) + ", incomplete " +
+         std::to_string(counts.incomplete) + ", idle " + std::to_string(counts.idle) + ", evicted " +
          std::to_string(counts.evicted);
 }
 
--- a/src/routing/client_listener.hpp
+++ b/src/routing/client_listener.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The socket on which clients connect.
+/// The listening socket for client connections.
 #pragma once
 
 #include <memory>
@@ -12,34 +12,34 @@
 
 namespace paddletrack::routing {
 
-/// Accepts clients' connections up to a limit and runs a session for each. The scheduler, the output budget,
+/// Accepts client connections up to a limit and runs a session for each. The scheduler, the output budget,
 /// the router, the logger and the gate belong to the caller and outlive the listener.
 class ClientListener {
  public:
   using Limits = ClientLimits;
 
-  /// Listens at once. Throws std::system_error if the address cannot be listened on.
+  /// Starts to listen immediately. Throws std::system_error if the address cannot be listened on.
   ClientListener(transport::Scheduler& scheduler, transport::OutputBudget& outputBudget,
                  const transport::Address& address, const Limits& limits, RequestRouter& router,
                  const Logger& logger, ServiceGate* serviceGate = nullptr);
 
-  /// Sets the gate, or removes it with a null pointer.
+  /// Sets the service gate; nullptr removes it.
   void setServiceGate(ServiceGate* serviceGate) { environment_.serviceGate = serviceGate; }
 
-  /// Accepts the connections that wait in the backlog and then no more, and closes those that are idle. To be
-  /// called again until `openSocketCount` is 0, as busy connections become idle only later.
+  /// Accepts the connections in the backlog, then stops accepting, and closes idle connections. Must be
+  /// called repeatedly until `openSocketCount` is 0, because busy connections become idle later.
   void close();
   bool isClosing() const { return environment_.isClosing; }
 
-  /// Bytes of responses that the kernel has not taken.
+  /// Bytes of responses that the kernel has not accepted yet.
   std::size_t unsentBytes() const;
-  /// Connections that have just come or have sent a part of a message.
+  /// Connections that await their first message or the rest of one, and were recently active.
   std::size_t incomingConnectionCount() const;
   /// Connections that are not lingering.
   std::size_t connectionCount() const { return environment_.sessions.active().size(); }
-  /// All connections that have not ended, and the listening socket.
+  /// All open connections, lingering ones included, and the listening socket.
   std::size_t openSocketCount() const { return environment_.sessions.size() + (listener_ ? 1 : 0); }
-  /// One line for the log.
+  /// Returns the connection and request counts as one line for the log.
   std::string formatCounts() const;
 
  private:
@@ -52,7 +52,7 @@
 
   ClientSessionEnvironment environment_;
   std::optional<transport::Listener> listener_;
-  // Last, so that the sessions end before what they refer to.
+  // Declared last, so that the sessions are destroyed before the members that they use.
   transport::TaskGroup sessionTasks_;
 };
 
--- a/src/routing/client_session.cpp
+++ b/src/routing/client_session.cpp
@@ -15,23 +15,23 @@
 namespace thrift = protocol::thrift;
 
 constexpr std::size_t kInitialInputBytes = 4UL * 1024;
-constexpr std::size_t kMaxLoggedNameBytes = 40;  // Bytes of a name that a client has sent.
+constexpr std::size_t kMaxLoggedNameBytes = 40;  // Longest logged prefix of a client's name.
 constexpr std::size_t kMaxOpenRequests = 32;     // On one connection.
-// Complete messages that wait to be handled: revocations come on top of the requests.
+// Queued complete messages; more than the open requests, to leave room for revocations.
 constexpr std::size_t kMaxQueuedMessages = kMaxOpenRequests * 8;
-// Messages of one client that are handled before other clients have a turn.
+// Messages of one client that are handled before other clients are served.
 constexpr std::size_t kMessagesPerTurn = kMaxOpenRequests / 4;
-// No attempt begins later than 100 ms after its client has gone. A client that has filled the input and does
-// not read its responses could revoke requests without being heard: it is disconnected after half of that
+// No attempt may start later than 100 ms after its client has gone. If the input is full and the client does
+// not read its responses, its revocations can no longer be read, so it is disconnected after half of that
 // time.
 constexpr std::chrono::milliseconds kInputFullTimeout{50};
-// A request that crosses the close within 50 ms is sent again by its client. What comes is read for twice
-// that time, and for no more bytes than the open requests of a client usually have.
+// A client resends a request that crosses the close within 50 ms. Input is read and discarded for twice that
+// time, up to the usual size of a client's open requests.
 constexpr std::chrono::milliseconds kLingerTimeout{100};
 constexpr std::size_t kMaxLingerBytes = 64UL * 1024;
-// The part of the message timeout for which a connection counts as recently active.
+// A connection counts as recently active for this fraction of the message timeout.
 constexpr int kRecentActivityDivisor = 8;
-// A connection on which more requests in a row are invalid is not one of a client.
+// More consecutive invalid requests than this mean that the peer is not a client.
 constexpr int kMaxConsecutiveInvalidRequests = 8;
 
 bool isCall(const thrift::Message& message) { return message.type == thrift::MessageType::call; }
@@ -78,7 +78,7 @@
     }
     const bool hasInput = co_await connection_.receive(receivedMessages_.empty() ? receiveDeadline() : now());
     queueReceivedMessages();
-    // Nothing is handled for a client that has hung up.
+    // No message is handled after the client has disconnected.
     if (connection_.isHungUp()) break;
     if (hasMoreToRead()) continue;
     if (!hasInput && receivedMessages_.empty() && !connection_.input().isFull())
@@ -127,9 +127,9 @@
 
 // ---- Backed up ------------------------------------------------------------------------------------------
 
-// To its client a request is open until it has the whole response, so the requests whose responses are not
-// written count with the open ones. Below that limit a message waits only while the input has room for more.
-// Returns whether the first queued message must wait, and keeps the times since when it does.
+// For a client, a request is open until its response is complete, so requests with unwritten responses count
+// as open. Below that limit a message waits only while the input has room for more. Returns whether the first
+// queued message must wait, and records since when.
 bool ClientSession::updateBackedUp() {
   if (receivedMessages_.empty() || receivedMessages_.front().handled || connection_.unsentBytes() == 0)
     return false;
@@ -161,13 +161,13 @@
     end(environment_.counts.incomplete);
     return;
   }
-  // The listener may have asked for the close during the wait.
+  // The listener may have requested the close during the wait.
   if (state_ == State::backedUp) state_ = State::reading;
 }
 
 // ---- Reading and closing --------------------------------------------------------------------------------
 
-// The session ends if no complete message has come by then. Bytes that drip in do not prolong it.
+// The session ends if no complete message has arrived by this time. Single bytes do not extend it.
 transport::TimePoint ClientSession::receiveDeadline() const {
   const ClientLimits& limits = environment_.limits;
   if (hasPartialMessage_) return lastActivityAt_ + limits.messageTimeout;
@@ -175,7 +175,7 @@
   return lastActivityAt_ + (isKnownClient_ ? limits.idleTimeout : limits.messageTimeout);
 }
 
-// All that has come is read before a message is handled, so that revocations are known first.
+// All available input is read before a message is handled, so that revocations take effect first.
 bool ClientSession::hasMoreToRead() const {
   return !connection_.isInputDrained() && !receivedMessages_.isFull();
 }
@@ -185,7 +185,7 @@
   state_ = State::reading;
   ClientCounts& counts = environment_.counts;
   if (closeRequested_ && wasLastRead) {
-    // The end of the listener itself evicts nobody in favour of another client.
+    // A session that closes because the listener closes does not count as evicted.
     if (!environment_.isClosing) ++counts.evicted;
     state_ = State::ended;
     return;
@@ -197,9 +197,9 @@
     beginLastRead();
 }
 
-// Handles one turn's messages: a client that has sent many does not keep the others waiting.
+// Handles a limited number of messages, so that a client with many messages does not delay other clients.
 void ClientSession::handleQueuedMessages() {
-  // A session that received something while it was closing stays; the listener must choose another.
+  // A session that received data while closing stays open; the listener must choose another.
   if (std::exchange(closeRequested_, false)) environment_.sessions.notifySlotMayBeFree();
   state_ = State::reading;
   for (std::size_t handledCount = 0; handledCount < kMessagesPerTurn; ++handledCount) {
@@ -235,7 +235,7 @@
     unwrittenResponses_.drop(sequenceId);
     receivedMessages_.markRequestHandled(sequenceId);
   } catch (const protocol::ParseError&) {
-    // It stays in the queue; its error is reported when its turn has come.
+    // The message stays in the queue; its error is reported when it is handled.
   }
 }
 
@@ -243,7 +243,7 @@
   return now() - lastActivityAt_ < environment_.limits.messageTimeout / kRecentActivityDivisor;
 }
 
-// ---- Messages when their turn has come ------------------------------------------------------------------
+// ---- Handling of queued messages ------------------------------------------------------------------------
 
 void ClientSession::handlePayload(std::string_view payload) {
   const thrift::Message message = thrift::decodeMessage(payload);
@@ -261,7 +261,7 @@
   if (isRevocation(message))
     abandonRequest(thrift::decodeRevoke(message.arguments));
   else if (!isCall(message))
-    throw protocol::ParseError("a message that no client sends");
+    throw protocol::ParseError("unexpected message type, expected a call");
   else if (message.method == "submit")
     handleSubmit(message);
   else if (message.method == "heartbeat")
@@ -283,10 +283,10 @@
   try {
     submitRequest(message);
   } catch (const std::bad_alloc&) {
-    // Nothing has run, so the client may try again.
+    // No attempt has started, so the client may retry.
     openRequests_.erase(message.sequence);
     environment_.logger.warning("request",
-                                Error(ErrorKind::outOfMemory, "a job", "no memory for it, throttled"));
+                                Error(ErrorKind::outOfMemory, "request", "out of memory, rejected"));
     sendResponse(message.sequence, thrift::encodeRejection(message.sequence, std::nullopt));
   }
 }
@@ -313,7 +313,7 @@
   PADDLETRACK_TABLE("exchange");
   auto context = std::make_unique<RequestContext>();
   context->id = ++environment_.lastRequestNumber;
-  // The client's time runs from the arrival, also while the message waited here.
+  // The client's timeout counts from the arrival of the message, including its time in the queue.
   const auto waitedFor = std::chrono::duration_cast<Duration>(now() - currentReceivedAt_);
   fillRequestContext(*context, submission, environment_.router, environment_.router.now() - waitedFor);
   context->statement = connection_.input().retain(submission.statement);
@@ -321,8 +321,8 @@
   return context;
 }
 
-// Rejects a valid request that this process does not accept now. Nothing has run, so the client may try
-// again.
+// Rejects a valid request that this process does not accept now. No attempt has started, so the client may
+// retry.
 bool ClientSession::rejectIfUnavailable(std::int32_t sequenceId) {
   if (environment_.serviceGate) {
     if (const std::optional<Duration> retryAfter = environment_.serviceGate->checkRejection()) {
@@ -337,7 +337,7 @@
 }
 
 bool ClientSession::canReportInvalidMessage(const thrift::Message& message) {
-  // The client could not tell the report from the response to its open request.
+  // The client could not distinguish the error from the response to its open request.
   if (!isCall(message) || openRequests_.contains(message.sequence)) return false;
   ++consecutiveInvalidRequests_;
   return consecutiveInvalidRequests_ <= kMaxConsecutiveInvalidRequests;
@@ -374,7 +374,7 @@
   try {
     writeResponse(context);
   } catch (const std::bad_alloc&) {
-    // The end of the connection tells the client that no response comes.
+    // The closed connection tells the client that there will be no response.
     connection_.shutDown();
   }
 }
--- a/src/routing/client_session.hpp
+++ b/src/routing/client_session.hpp
@@ -27,17 +27,17 @@
 struct ClientLimits {
   std::size_t maxConnections = 1;
   std::size_t maxFrameBytes = 0;  ///< Bytes of one message.
-  /// Bytes of unwritten responses on a connection beyond which its next messages wait.
+  /// If more bytes of responses than this are unwritten on a connection, its next messages wait.
   std::size_t maxUnsentBytes = 0;
-  /// A connection is closed when no complete message has come for this long, counted from its start or from a
-  /// message's first byte.
+  /// A connection is closed if no complete message has arrived for this long, counted from the start of the
+  /// connection or from the first byte of a message.
   Duration messageTimeout{std::chrono::milliseconds(1500)};
-  /// A connection of a known client is closed when it was idle for this long, which is longer than clients
-  /// keep connections that they do not use.
+  /// A connection of a known client is closed after it has been idle for this long, which is longer than
+  /// clients keep unused connections.
   Duration idleTimeout{std::chrono::seconds(5)};
 };
 
-/// Why sessions ended and how many requests were not valid, for the log.
+/// Counts of accepted connections, invalid requests and closed sessions by reason, for the log.
 struct ClientCounts {
   std::uint64_t accepted = 0;
   std::uint64_t rejectedRequests = 0;
@@ -47,7 +47,7 @@
   std::uint64_t evicted = 0;
 };
 
-/// What the sessions of one listener share. The listener owns it, and it outlives all sessions.
+/// The state shared by the sessions of one listener. The listener owns it, and it outlives all sessions.
 struct ClientSessionEnvironment {
   transport::Scheduler& scheduler;
   transport::OutputBudget& outputBudget;
@@ -61,25 +61,25 @@
   bool isClosing = false;  ///< The listener is closing.
 };
 
-/// Reads the messages of one client's connection, hands its requests to the router and writes the responses.
+/// Reads the messages of one client connection, passes its requests to the router and writes the responses.
 ///
 /// A session is in one of these states:
 ///
-///     reading ---> backedUp    the client does not read its responses, so its next message must wait
-///     backedUp --> reading     the client has read some of them, or more input can be read meanwhile
-///     reading ---> closing     a deadline passed, or the listener asked for the slot: one last read is made
-///     closing ---> reading     the last read brought something
-///     any -------> ended       the client has hung up, or the reason to close stands
-///     ended -----> lingering   the connection is half-closed until the client has read what was written
+///     reading ---> backedUp    the client does not read its responses, so its next message waits
+///     backedUp --> reading     the client has read some of them, or more input can be read
+///     reading ---> closing     a deadline passed, or the listener requested the slot: one last read follows
+///     closing ---> reading     the last read returned data
+///     any -------> ended       the client has disconnected, or the last read returned nothing
+///     ended -----> lingering   the connection is half-closed until the client has read the responses
 ///
-/// Messages are parsed as soon as they are read, and handled in the order of their arrival. A revocation acts
-/// on arrival, also on requests that are still queued. Requests that are open when the session ends are
+/// Messages are parsed as soon as they are read, and handled in the order of arrival. A revocation takes
+/// effect on arrival, also for requests that are still queued. When the session ends, its open requests are
 /// reported to the router as requests whose client is gone.
 class ClientSession final : private RequestContext::ResponseListener {
  public:
-  /// Orders evictable sessions; the least one is missed least. That is one that had time to send a request
-  /// and did not, then one that is idle. A connection that has just come is the last choice, else connections
-  /// that stay for good would keep all new ones out.
+  /// Orders evictable sessions; the lowest rank is evicted first. First come sessions that had time to send a
+  /// request and did not, then idle sessions of known clients. New connections are evicted last; otherwise
+  /// long-lived connections would keep all new ones out.
   struct RetentionRank {
     bool isNewcomer = false;
     bool isKnownClient = false;
@@ -87,31 +87,32 @@
     auto operator<=>(const RetentionRank&) const = default;
   };
 
-  /// Adds itself to the environment's sessions and removes itself at its end.
+  /// Adds the session to the environment's list; the destructor removes it.
   ClientSession(ClientSessionEnvironment& environment, std::unique_ptr<transport::Descriptor> acceptedSocket);
   ~ClientSession() override;
   ClientSession(const ClientSession&) = delete;
   ClientSession& operator=(const ClientSession&) = delete;
 
-  /// Serves the connection until it is to be closed. Throws protocol::ParseError if the client sends what
-  /// cannot be answered. The task must not outlive the session.
+  /// Serves the connection until it must be closed. Throws protocol::ParseError if the client sends a message
+  /// that cannot be answered. The task must not outlive the session.
   transport::Task<> run();
 
-  /// Half-closes the connection and drops what still comes, after `run` is over. No response could reach the
-  /// client for it. The task must not outlive the session.
+  /// Half-closes the connection after `run` has ended and discards further input, since no response to it
+  /// could reach the client. The task must not outlive the session.
   transport::Task<> linger();
 
-  /// Asks the session to end after one last read; it stays if that read brings a message.
+  /// Requests that the session end after one last read; the session stays if that read returns data.
   void requestClose();
-  /// Does `requestClose` if no request is open, queued or on its way.
+  /// Calls `requestClose` unless a request is open, queued or expected.
   void closeIfIdle();
   void shutDown() { connection_.shutDown(); }
 
   std::size_t unsentBytes() const { return connection_.unsentBytes(); }
-  /// Whether it may be closed to free a slot: no request is open and all responses are written.
+  /// Whether the session may be closed to free a slot: no request is open, all responses are written and no
+  /// close has been requested.
   bool isEvictable() const;
   RetentionRank retentionRank() const;
-  /// Whether the first message, or the rest of a message, is awaited and not late.
+  /// Whether the first message, or the rest of a partial one, is awaited and the client was recently active.
   bool isIncoming() const { return isAwaitingMessage() && isRecentlyActive(); }
 
  private:
@@ -129,13 +130,13 @@
   void end(std::uint64_t& reasonCount);
   void handleQueuedMessages();
 
-  // Messages on arrival.
+  // Processing of messages on arrival.
   void queueReceivedMessages();
   void revokeOnArrival(const protocol::thrift::Message& message);
   bool isAwaitingMessage() const { return hasPartialMessage_ || !isKnownClient_; }
   bool isRecentlyActive() const;
 
-  // Messages when their turn has come.
+  // Handling of queued messages.
   void handlePayload(std::string_view payload);
   void handleMessage(const protocol::thrift::Message& message);
   void handleHeartbeat(const protocol::thrift::Message& message);
@@ -161,7 +162,7 @@
   transport::Connection connection_;
   ClientSessionList::Position position_;
   State state_ = State::reading;
-  // Asked by the listener. Kept apart from the state, as a client that is backed up may be asked as well.
+  // Set by the listener. Separate from the state, because a backed-up session can be requested to close, too.
   bool closeRequested_ = false;
   std::unordered_map<std::int32_t, RequestContext*>
       openRequests_;  // By sequence number; owned by the router.
@@ -170,13 +171,13 @@
   std::optional<transport::TimePoint> backedUpSince_;
   std::optional<transport::TimePoint> inputFullSince_;  // While backed up.
   transport::TimePoint currentReceivedAt_{};            // Arrival of the message that is being handled.
-  // When the session began, the last message or the first byte of an incomplete one came, or the last
-  // response was given.
+  // When the session started, the last message or the first byte of a partial one arrived, or the last
+  // response was ready.
   transport::TimePoint lastActivityAt_{};
   bool hasPartialMessage_ = false;
-  bool isKnownClient_ = false;  // It has sent a message that only clients send.
+  bool isKnownClient_ = false;  // It has sent a valid heartbeat or request.
   int consecutiveInvalidRequests_ = 0;
-  // As named by the request that is being handled, for the log. They lie in the input buffer.
+  // Fields of the request that is being handled, for the log; views into the input buffer.
   std::string_view currentRequestId_;
   std::string_view currentRequestClass_;
 };
--- a/src/routing/client_session_list.hpp
+++ b/src/routing/client_session_list.hpp
@@ -11,8 +11,8 @@
 
 class ClientSession;
 
-/// Lists the sessions that exist, active and lingering ones apart. Both kinds count as connections. The
-/// sessions add, move and remove themselves; the list owns none of them.
+/// Lists the open sessions, with separate lists for active and lingering ones. Both count as connections. The
+/// sessions add, move and remove themselves; the list does not own them.
 class ClientSessionList {
  public:
   using Sessions = std::list<ClientSession*>;
@@ -20,7 +20,8 @@
 
   explicit ClientSessionList(transport::Scheduler& scheduler) : slotFreed_(scheduler) {}
 
-  /// Adds a session as the newest active one. The result stays valid until it is passed to a `remove`.
+  /// Adds a session as the newest active one. The returned position stays valid until it is passed to
+  /// `removeActive` or `removeLingering`.
   Position add(ClientSession& session) { return active_.insert(active_.end(), &session); }
 
   void moveToLingering(Position position) {
@@ -36,11 +37,11 @@
     slotFreed_.set();
   }
 
-  const Sessions& active() const { return active_; }        ///< In the order in which they were accepted.
-  const Sessions& lingering() const { return lingering_; }  ///< In the order in which they were half-closed.
+  const Sessions& active() const { return active_; }        ///< In order of acceptance.
+  const Sessions& lingering() const { return lingering_; }  ///< In order of half-close.
   std::size_t size() const { return active_.size() + lingering_.size(); }
 
-  /// Wakes the waiter of `waitForSlot`, which has to look again for a session that can be closed.
+  /// Wakes the waiter of `waitForSlot`, which must search again for a session that can be closed.
   void notifySlotMayBeFree() { slotFreed_.set(); }
   transport::Signal::SignalAwaiter waitForSlot(transport::TimePoint deadline) {
     return slotFreed_.wait(deadline);
--- a/src/routing/endpoint_watcher.cpp
+++ b/src/routing/endpoint_watcher.cpp
@@ -19,7 +19,7 @@
 constexpr int kMaxInvalidSessions = 3;  // After these in a row, a gap in the event numbers is accepted.
 
 std::string describeEndpointList(const transport::Address& listAddress) {
-  return "the list at " + listAddress.text();
+  return "endpoint list at " + listAddress.text();
 }
 
 }  // namespace
@@ -49,8 +49,8 @@
   currentWatch_->spawn(watch(++generation_, listAddress_));
 }
 
-// The new address may be unreachable, for a while or for good, so a session that has received data goes on
-// until the new one has caught up. If it ends earlier it is not restarted.
+// The new address may be temporarily or permanently unreachable, so a session that has received data
+// continues until the new one has caught up. If it ends earlier, it is not restarted.
 bool EndpointWatcher::switchTo(const transport::Address& listAddress) {
   if (listAddress == (nextListAddress_ ? *nextListAddress_ : listAddress_)) return false;
   if (listAddress == listAddress_) {
@@ -77,8 +77,8 @@
   startWatching();
 }
 
-// During a long wait the known list may become outdated. Engines that cannot be reached are a sign of that
-// and bring the next connect forward.
+// During a long wait the known endpoints may become outdated. Unreachable engines indicate that and bring the
+// next connect forward.
 transport::Task<> EndpointWatcher::waitToReconnect() {
   isWaiting_ = true;
   for (Duration now = router_.now(); now < reconnectSchedule_.nextConnectAt(); now = router_.now()) {
@@ -102,9 +102,9 @@
     try {
       sessionEnd = co_await runSession(generation, listAddress);
     } catch (const protocol::ParseError& error) {
-      logError(
-          ErrorKind::discoveryProtocolError, listAddress,
-          std::string(consecutiveInvalidSessions_ > 0 ? "read afresh: " : "read again: ") + error.what());
+      logError(ErrorKind::discoveryProtocolError, listAddress,
+               std::string(consecutiveInvalidSessions_ > 0 ? "reading from the start: " : "resuming: ") +
+                   error.what());
       if (generation == generation_ && ++consecutiveInvalidSessions_ > 1) lastEventNumber_ = 0;
     } catch (const std::exception& error) {
       logger_.warning("changelog", toError(error, describeEndpointList(listAddress)));
@@ -139,14 +139,14 @@
       co_await transport::connect(scheduler_, listAddress, scheduler_.now() + kConnectTimeout);
   if (!result.descriptor) {
     logError(ErrorKind::discoveryUnreachable, listAddress,
-             std::string("out of reach: ") + std::strerror(result.error));
+             std::string("connect failed: ") + std::strerror(result.error));
     co_return SessionEnd::unreachable;
   }
   transport::Connection connection(scheduler_, std::move(result.descriptor), kInitialInputBytes,
                                    kMaxInputBytes, outputBudget_);
   connection.send({BufferSlice(protocol::encodeSince(lastEventNumber_))});
   transport::InputBuffer& input = connection.input();
-  // Only complete lines with content count: bytes that drip in and empty lines do not prolong the session.
+  // Only complete lines with content count: incomplete and empty lines do not extend the session.
   transport::TimePoint lastDataAt = scheduler_.now();
   while (scheduler_.now() < lastDataAt + reconnectSchedule_.silenceTimeout()) {
     const bool hasInput = co_await connection.receive(lastDataAt + reconnectSchedule_.silenceTimeout());
@@ -158,23 +158,23 @@
     }
     if (input.view().size() > 0) input.expectSize(input.view().size() * 2);
   }
-  if (input.isFull()) throw protocol::ParseError("a line without an end");
+  if (input.isFull()) throw protocol::ParseError("line exceeds the size limit");
   const bool isSilent = connection.readEnd() == transport::Connection::ReadEnd::none;
   logSessionEnd(isSilent, generation == generation_, listAddress);
   co_return isSilent && !hasReceivedData_ ? SessionEnd::unresponsive : SessionEnd::refused;
 }
 
 void EndpointWatcher::logSessionEnd(bool isSilent, bool isCurrent, const transport::Address& listAddress) {
-  const std::string nextAction = isCurrent ? "connecting anew" : "another is followed by now";
+  const std::string nextAction = isCurrent ? "reconnecting" : "another endpoint list is being watched";
   if (isSilent)
     logError(ErrorKind::discoveryStalled, listAddress, "silent: " + nextAction);
   else
-    logError(ErrorKind::discoveryInterrupted, listAddress, "cut: " + nextAction);
+    logError(ErrorKind::discoveryInterrupted, listAddress, "connection closed: " + nextAction);
 }
 
 // Applies one line and returns whether it had content. Lines of a session from before the last switch are
-// applied as long as they continue what is known, but say nothing about the state of the current session,
-// which ends the previous one as soon as it has caught up.
+// applied as long as they follow the last known event, but do not affect the state of the current session,
+// which ends the previous one once it has caught up.
 bool EndpointWatcher::handleLine(std::string_view text, std::uint64_t generation) {
   if (text.ends_with('\r')) text.remove_suffix(1);
   if (text.empty()) return false;
@@ -189,7 +189,7 @@
   if (isCurrent) warnIfBehind(parsedLine);
   if (isNew) {
     if (parsedLine.event) router_.onEndpointUpdate(*parsedLine.event);
-    // Only now, so that an event which could not be applied is requested again.
+    // Updated only after the event is applied, so that a failed event is requested again.
     lastEventNumber_ = parsedLine.sequence;
   } else if (isCurrent && parsedLine.sequence == lastEventNumber_ && !parsedLine.event) {
     consecutiveInvalidSessions_ = 0;
@@ -198,24 +198,25 @@
   return true;
 }
 
-// Throws protocol::ParseError if events are missing before the new line: among them could be the removal of
-// an engine. A gap that is there even when the list is read from the start is one in the numbers, not in the
-// events, and is accepted.
+// Throws protocol::ParseError if events before the new line are missing, because one of them could be the
+// removal of an engine. A gap that persists when the list is read from the start is a gap in the numbering,
+// not missing events, and is accepted.
 void EndpointWatcher::checkApplicable(const protocol::EndpointListLine& line, bool isCurrent) const {
   const bool isFirst = lastEventNumber_ == 0 && isCurrent;
   const bool isNext = line.sequence == lastEventNumber_ + 1;
   if (line.event && (isNext || isFirst || line.event->isSnapshot)) return;
   if (isCurrent && consecutiveInvalidSessions_ >= kMaxInvalidSessions) return;
-  throw protocol::ParseError("nothing of " + std::to_string(lastEventNumber_ + 1) + " before " +
+  throw protocol::ParseError("expected event " + std::to_string(lastEventNumber_ + 1) + ", found event " +
                              std::to_string(line.sequence));
 }
 
-// Warns once in a session that the list ends before what is known.
+// Warns once per session that the list ends before the last known event.
 void EndpointWatcher::warnIfBehind(const protocol::EndpointListLine& line) {
   if (line.event || line.sequence >= lastEventNumber_ || isBehind_) return;
   isBehind_ = true;
-  logger_.warning("changelog", "an old list: it ends at " + std::to_string(line.sequence) + ", " +
-                                   std::to_string(lastEventNumber_) + " is known; what is known stays");
+  logger_.warning("changelog", "outdated endpoint list: last event " + std::to_string(line.sequence) + ", " +
+                                   std::to_string(lastEventNumber_) +
+                                   " is already known; keeping the known endpoints");
 }
 
 }  // namespace paddletrack::routing
--- a/src/routing/endpoint_watcher.hpp
+++ b/src/routing/endpoint_watcher.hpp
@@ -12,10 +12,10 @@
 
 namespace paddletrack::routing {
 
-/// Watches the endpoint list and passes its events to the router. After an interruption, an unreadable line
-/// or a gap it resumes after the last known event; if that fails again for the same reason, it reads the list
-/// from the start. After a switch to another address the previous session goes on until the new one has
-/// caught up with what is known. The references passed belong to the caller and outlive the watcher.
+/// Watches the endpoint list and passes its events to the router. After an interruption, an invalid line or a
+/// gap it resumes after the last known event; after a second invalid session in a row it reads the list from
+/// the start. After a switch to another address the previous session continues until the new one has caught
+/// up with the last known event. The references belong to the caller and must outlive the watcher.
 class EndpointWatcher {
  public:
   EndpointWatcher(transport::Scheduler& scheduler, transport::OutputBudget& outputBudget,
@@ -24,7 +24,7 @@
                   const discovery::ReconnectOptions& options = {});
 
   /// Watches the list at another address, at once or after a delay that spreads the controllers' switches;
-  /// the current list is watched until then. Returns whether the address differs from the one asked for last.
+  /// the current list is watched until then. Returns whether the address differs from the last one requested.
   /// A switch back to the current address before the delay has passed cancels the switch.
   bool switchTo(const transport::Address& listAddress);
 
@@ -59,7 +59,7 @@
   const Logger& logger_;
   discovery::ReconnectSchedule reconnectSchedule_;
   std::uint64_t connectCount_ = 0;
-  bool isWaiting_ = false;        // For the time of the next connect.
+  bool isWaiting_ = false;        // Until the next connect.
   bool hasReceivedData_ = false;  // In the current session.
   bool isBehind_ = false;         // The current session's list ends before the last known event.
   int consecutiveInvalidSessions_ = 0;
@@ -68,7 +68,7 @@
   std::uint64_t generation_ = 0;  // Incremented by each switch; identifies the current watch.
   std::unique_ptr<transport::TaskGroup> currentWatch_;
   std::unique_ptr<transport::TaskGroup>
-      previousWatch_;  // Of the address before the switch, until the current one has caught up.
+      previousWatch_;  // Watches the previous address until the current watch has caught up.
   std::optional<transport::TaskGroup> pendingSwitch_;
 };
 
--- a/src/routing/engine_address_book.cpp
+++ b/src/routing/engine_address_book.cpp
@@ -38,16 +38,16 @@
       if (isNew) listedAddresses.push_back({name, familyOf(address)});
     } catch (const std::invalid_argument& error) {
       logger_.warning("changelog",
-                      Error(ErrorKind::invalidEndpointEntry, "executor " + endpoint.id,
-                            std::string("address passed over: ") + error.what()),
+                      Error(ErrorKind::invalidEndpointEntry, "engine " + endpoint.id,
+                            std::string("address skipped: ") + error.what()),
                       {{"engine", endpoint.id}});
     }
   }
   const std::size_t omittedCount = endpoint.addressTable.update(listedAddresses, isNewProcess);
   if (omittedCount > 0)
     logger_.warning("changelog",
-                    Error(ErrorKind::invalidEndpointEntry, "executor " + endpoint.id,
-                          std::to_string(omittedCount) + " addresses too many, passed over"),
+                    Error(ErrorKind::invalidEndpointEntry, "engine " + endpoint.id,
+                          std::to_string(omittedCount) + " addresses over the limit, skipped"),
                     {{"engine", endpoint.id}});
   endpoint.addressesByName = std::move(addressesByName);
 }
@@ -56,7 +56,7 @@
                                       ConnectOutcome outcome, std::optional<Duration> connectTime) {
   constexpr double kDrawRange = static_cast<double>(std::minstd_rand::max() - std::minstd_rand::min());
   const double randomDraw = static_cast<double>(random_() - std::minstd_rand::min()) / kDrawRange;
-  // With a single address there is no choice to explain, so only engines with alternatives are logged.
+  // Outcomes are logged only for engines with several addresses, where they explain the choice of address.
   const bool hasAlternatives = endpoint.addressTable.entries().size() > 1;
   if (hasAlternatives) logOutcome(endpoint, addressName, outcome);
   endpoint.addressTable.recordOutcome(now(), addressName, outcome, connectTime, connectOptions_, randomDraw);
@@ -64,15 +64,16 @@
 
 void EngineAddressBook::logOutcome(const EngineEndpoint& endpoint, const std::string& addressName,
                                    ConnectOutcome outcome) const {
-  const std::string place = "executor " + endpoint.id + " at " + addressName;
+  const std::string subject = "engine " + endpoint.id + " at " + addressName;
   if (outcome == ConnectOutcome::succeeded) {
     if (endpoint.addressTable.isFailing(addressName))
-      logger_.info("address", place + ": good again", {{"engine", endpoint.id}, {"address", addressName}});
+      logger_.info("address", subject + ": reachable again",
+                   {{"engine", endpoint.id}, {"address", addressName}});
     return;
   }
   const bool isConnectFailure = outcome == ConnectOutcome::refused || outcome == ConnectOutcome::timedOut;
   logger_.warning("address",
-                  Error(isConnectFailure ? ErrorKind::connectFailed : ErrorKind::engineUnresponsive, place,
+                  Error(isConnectFailure ? ErrorKind::connectFailed : ErrorKind::engineUnresponsive, subject,
                         nameOf(outcome)),
                   {{"engine", endpoint.id}, {"address", addressName}});
 }
--- a/src/routing/engine_connection.cpp
+++ b/src/routing/engine_connection.cpp
@@ -17,8 +17,8 @@
 constexpr std::uint32_t kMaxPages = 64;
 
 // The following are multiples of the connect timeout.
-constexpr int kQuietConnectTimeouts = 1;           // Silence after which an engine with attempts is pinged.
-constexpr int kDeadConnectTimeouts = 2;            // Unanswered ping, while a newer connection answers.
+constexpr int kQuietConnectTimeouts = 1;  // Time without input before an engine with attempts is pinged.
+constexpr int kDeadConnectTimeouts = 2;   // Longest unanswered ping while a newer connection responds.
 constexpr int kPartialMessageConnectTimeouts = 1;  // Longest time for the rest of a message.
 
 }  // namespace
@@ -59,7 +59,7 @@
 
 bool EngineConnection::canCarry(const AttemptContext& attemptContext, std::size_t maxAttempts) const {
   if (isRetiring() || isSuspect() || attemptCount() >= maxAttempts) return false;
-  // If the rest of a partial message does not come, the connection closes with all attempts on it.
+  // If the rest of a partial message does not arrive, the connection closes with all attempts on it.
   if (attemptCount() == 0 && partialMessageSince_) return false;
   // A request id is used only once on a connection: the response to an earlier, abandoned attempt of the same
   // request may still arrive.
@@ -130,8 +130,8 @@
     return true;
   }
   if (attemptCount() > 1 || attemptContext.streamEndOffset <= stream_->writtenBytes()) return false;
-  // The attempt is partly written and alone here: closing the stream ensures that the engine never gets the
-  // rest.
+  // The attempt is partly written and the only one on this connection: closing the stream ensures that the
+  // engine never receives the rest.
   openAttempts_.clear();
   attemptContext.connection = nullptr;
   retire();
@@ -183,7 +183,7 @@
     } else if (hasReadAgain) {
       failOverdueMessage();
     } else {
-      // This process itself may have been suspended: what the kernel holds by the next poll still counts.
+      // This process may have been suspended: input that the kernel holds by the next poll still counts.
       hasReadAgain = true;
       co_await context_.scheduler.yield();
       quietTimeout = Duration{0};
@@ -207,8 +207,8 @@
     context_.attemptListener.onAttemptFinished(*attemptContext, AttemptOutcome::neverSent);
 }
 
-// Leaves in the queue those that may not be sent any more. An attempt whose write failed before any of it was
-// queued on the stream goes back to the queue, so that it counts as never executed.
+// Attempts that may no longer be sent stay in the queue. An attempt whose write failed before any of it was
+// queued on the stream returns to the queue, so that it counts as never executed.
 void EngineConnection::writeQueuedAttempts() {
   std::size_t index = 0;
   while (index < queuedAttempts_.size()) {
@@ -234,8 +234,8 @@
   shutDownDeadPeers();
 }
 
-// An engine that answers here while an older connection stays silent no longer knows that one: the engine
-// restarted, or the network path broke. An engine that answers nowhere may only be slow.
+// If an engine responds on this connection while an older one stays silent, the older one is dead: the engine
+// has restarted or the network path has failed. An engine that responds on no connection may only be slow.
 void EngineConnection::shutDownDeadPeers() {
   for (EngineConnection* peer : endpoint_.connections) {
     const bool isOlderAndSilent = peer->isSuspect() && peer->pingSentAt_ && peer->serial_ < serial_;
@@ -247,8 +247,8 @@
   }
 }
 
-// No bytes arrived for a while. An idle connection closes before its engine closes it, which would race with
-// a new attempt; one with attempts checks that its peer still answers.
+// Called when no bytes have arrived for the quiet timeout. An idle connection closes before its engine closes
+// it, because the engine's close would race with a new attempt. A connection with attempts pings its engine.
 EngineConnection::IdleAction EngineConnection::onQuietPeriod() {
   if (attemptCount() == 0) {
     if (!isSuspect()) pingSentAt_.reset();
@@ -263,8 +263,8 @@
   return IdleAction::keep;
 }
 
-// Whether the kernel accepted nothing of a partly written attempt since the last check. Such an attempt was
-// not executed, so it can go to another address.
+// Whether the kernel has accepted no bytes of a partly written attempt since the last check. Such an attempt
+// was not executed, so it can be rerouted to another address.
 bool EngineConnection::hasStalledWrite() {
   const std::uint64_t writtenBytes = stream_->writtenBytes();
   const bool isWritePending = std::any_of(
@@ -285,7 +285,7 @@
   recordOutcome(ConnectOutcome::unresponsive);
   context_.logger.warning(
       "silent",
-      Error(ErrorKind::engineUnresponsive, "executor " + endpoint_.id, "a connection answers nothing"),
+      Error(ErrorKind::engineUnresponsive, "engine " + endpoint_.id, "connection does not respond to a ping"),
       {{"engine", endpoint_.id}, {"address", addressName_}});
   enterSuspectState();
 }
@@ -326,7 +326,7 @@
 
 void EngineConnection::failOverdueMessage() {
   recordOutcome(ConnectOutcome::unresponsive);
-  throw protocol::ParseError("stood still within a message");
+  throw protocol::ParseError("message still incomplete after the connect timeout");
 }
 
 void EngineConnection::readResponses() {
@@ -348,7 +348,7 @@
 void EngineConnection::onResponse(const protocol::resp::Answer& answer) {
   if (answer.kind == AnswerKind::alive) return;
   if (answer.kind == AnswerKind::unknown) {
-    context_.logger.info("unsupported", "executors send messages that have no page; dropped");
+    context_.logger.info("unsupported", "dropped an engine message of unknown type");
     return;
   }
   const auto found = openAttempts_.find(std::string(answer.id));
@@ -369,7 +369,7 @@
     case AnswerKind::chunk:
       if (!hasResult) return;  // A page that precedes its result.
       if (answer.pageNumber < 1 || answer.pageNumber >= attemptContext.expectedPages)
-        throw protocol::ParseError("a page that was not asked for");
+        throw protocol::ParseError("received a page that was not requested");
       if (attemptContext.pages[answer.pageNumber].view().data()) return;  // A duplicate.
       break;
     default:
@@ -380,7 +380,8 @@
 }
 
 void EngineConnection::onFirstPage(AttemptContext& attemptContext, const protocol::resp::Answer& answer) {
-  if (answer.pageCount < 1 || answer.pageCount > kMaxPages) throw protocol::ParseError("a count of pages");
+  if (answer.pageCount < 1 || answer.pageCount > kMaxPages)
+    throw protocol::ParseError("page count is out of range");
   attemptContext.expectedPages = answer.pageCount;
   attemptContext.pages.resize(answer.pageCount);
   for (std::uint32_t page = 1; page < answer.pageCount; ++page)
@@ -391,7 +392,7 @@
   std::size_t resultBytes = answer.body.size();
   for (const BufferSlice& page : attemptContext.pages) resultBytes += page.size();
   if (!protocol::resp::areRowsComplete(answer.body) || resultBytes > protocol::resp::kMaxResultBytes)
-    throw protocol::ParseError("a page that is not of whole rows, or more than a result holds");
+    throw protocol::ParseError("page ends within a row, or the result exceeds its size limit");
   attemptContext.pages[answer.pageNumber] = stream_->input().retain(answer.body);
   ++attemptContext.receivedPages;
   if (attemptContext.receivedPages == attemptContext.expectedPages)
--- a/src/routing/engine_connection.hpp
+++ b/src/routing/engine_connection.hpp
@@ -18,15 +18,15 @@
 
 namespace paddletrack::routing {
 
-/// Receives the outcome of each attempt that ends by itself. The calls come from the scheduler loop, never
-/// from within a call on the connection pool.
+/// Receives the outcome of each attempt that ends without being recalled or abandoned. The calls come from
+/// the scheduler loop, never from within a call on the connection pool.
 class AttemptListener {
  public:
   virtual ~AttemptListener() = default;
   virtual void onAttemptFinished(AttemptContext& attemptContext, AttemptOutcome outcome) = 0;
 };
 
-/// What the connections of one pool share. The pool owns it; it outlives all of its connections.
+/// The state shared by the connections of one pool. The pool owns it; it outlives all of its connections.
 struct ConnectionContext {
   transport::Scheduler& scheduler;
   EngineAddressBook& addressBook;
@@ -34,8 +34,7 @@
   const Logger& logger;
   const Duration connectTimeout;
   const Duration idleTimeout;
-  std::uint64_t faultedConnections =
-      0;  ///< Connections closed here because of what was, or was not, received.
+  std::uint64_t faultedConnections = 0;  ///< Connections closed by this process for invalid or missing input.
 };
 
 /// A connected stream to one address of an engine.
@@ -46,14 +45,14 @@
   bool hasInput = false;  ///< The engine has already answered a probe on it.
 };
 
-/// An attempt that was on a connection when that connection closed, and what becomes of it.
+/// An attempt that was on a connection when it closed, and how to continue with it.
 struct AttemptDisposition {
   AttemptContext* attemptContext = nullptr;
   addresses::Disposition disposition = addresses::Disposition::unreachable;
 };
 
-/// Whether an attempt may still be written at `now`. Admission allowed it when it was started; since then its
-/// request may have finished, its engine may have restarted or begun to drain, and its time may be over.
+/// Whether an attempt may still be written at `now`. Since admission started it, its request may have
+/// finished, its engine may have restarted or begun to drain, or its send deadline may have passed.
 bool canSend(const AttemptContext& attemptContext, transport::TimePoint now);
 
 /// One connection to one engine, from before its first connect attempt until it is closed. It writes
@@ -100,30 +99,32 @@
   }
   bool isSuspect() const { return state_ == State::suspect || state_ == State::retiringSuspect; }
   bool isRetiring() const;
-  /// Whether one of the attempts that wait for the connection must not run twice.
+  /// Whether one of the queued attempts belongs to a request that is not idempotent.
   bool hasQueuedNonIdempotentAttempt() const;
-  /// Whether it may take the attempt beside those it has, of which there may be `maxAttempts` in all.
+  /// Whether the connection may carry the attempt in addition to its present ones, up to `maxAttempts` in
+  /// total.
   bool canCarry(const AttemptContext& attemptContext, std::size_t maxAttempts) const;
 
   /// Writes the attempt, or queues it while connecting.
   void submit(AttemptContext& attemptContext);
-  /// Takes the attempt back if the engine cannot have received it whole, nor will; otherwise returns false.
+  /// Withdraws the attempt and returns true if the engine has not received and cannot receive all of it;
+  /// otherwise returns false.
   bool recall(AttemptContext& attemptContext);
-  /// Forgets an open attempt and tells the engine to drop it.
+  /// Detaches an open attempt and notifies the engine to drop it.
   void abandon(AttemptContext& attemptContext);
   /// Sends the current priority of the attempt's request if the engine has the attempt and no result yet.
   void updatePriority(const AttemptContext& attemptContext);
   /// Accepts no new attempts; closes at once if it is connected and has none.
   void retire();
 
-  /// Takes over the stream of the connect attempt that won. serve() must be awaited next.
+  /// Takes ownership of the stream of the connect attempt that won. serve() must be awaited next.
   void onConnected(ConnectedStream connected);
-  /// Carries attempts until the stream ends or is of no more use. Throws what the parser throws on malformed
+  /// Carries attempts until the stream ends or is no longer usable. Throws protocol::ParseError on malformed
   /// input, and std::bad_alloc. The connection must outlive the task.
   transport::Task<> serve();
   /// Counts the connection as faulted: it is closed because of the connection, not the engine.
   void markFaulted();
-  /// Enters the final state and detaches all attempts. Returns what becomes of each.
+  /// Enters the final state and detaches all attempts. Returns the disposition of each.
   std::vector<AttemptDisposition> close();
   /// Whether the stream ended, with attempts open, before the engine responded to any.
   bool wasResetEarly() const;
--- a/src/routing/engine_connection_pool.cpp
+++ b/src/routing/engine_connection_pool.cpp
@@ -8,11 +8,11 @@
 namespace paddletrack::routing {
 namespace {
 
-// One in so many of all connections is reserved for engines that have no connection that could be shared.
+// One in this many connections is reserved for engines without a connection that could be shared.
 constexpr std::size_t kConnectionReserveDivisor = 4;
 
-// Whether a new attempt should rather go to the first of two connections: the one with fewer attempts, then
-// the one that is established, then the one used last, so that the others reach their idle timeout.
+// Whether a new attempt should use `left` rather than `right`. Prefers the connection with fewer attempts,
+// then an established one, then the most recently used one, so that the others reach their idle timeout.
 bool isBetterConnection(const EngineConnection& left, const EngineConnection& right) {
   const auto rank = [](const EngineConnection& connection) {
     return std::tuple(connection.attemptCount(), connection.isConnecting(),
@@ -86,10 +86,10 @@
 
 // ---- Selection of connections ---------------------------------------------------------------------------
 
-// Attempts share a connection only when descriptors run short, because all of them end when it closes: an
-// idle connection comes first, then a new one while some are left for engines that have none, then the one
-// with the fewest attempts. Where an engine is silent, a single new connection at a time finds out whether it
-// answers, and an attempt for which that one has no room is not sent.
+// Attempts share a connection only when descriptors run short, because all of them end when it closes. An
+// idle connection is preferred, then a new one as long as the reserve for engines without a connection is
+// kept, then the one with the fewest attempts. For a silent engine only one new connection at a time tests
+// whether it responds; an attempt that this connection cannot carry is not sent.
 EngineConnection* EngineConnectionPool::selectConnection(const AttemptContext& attemptContext) {
   auto& endpoint = *static_cast<EngineEndpoint*>(attemptContext.attempt.engine);
   EngineConnection* const best = findBestConnection(endpoint, attemptContext);
@@ -104,8 +104,8 @@
   if (best && connections_.size() >= limits_.maxConnections - reservedConnections) return best;
   if (descriptorCount() >= limits_.maxConnections) {
     logger_.warning("descriptors",
-                    Error(ErrorKind::outOfDescriptors, "executor " + endpoint.id,
-                          "no connection is left for another dispatch"),
+                    Error(ErrorKind::outOfDescriptors, "engine " + endpoint.id,
+                          "connection limit reached, no connection for another attempt"),
                     {{"engine", endpoint.id}});
     return nullptr;
   }
@@ -141,15 +141,16 @@
   } catch (const std::exception& error) {
     const Error typedError = toError(error, "");
     logger_.warning("executor",
-                    Error(typedError.kind(), "executor " + connection.endpoint().id,
-                          error.what() + std::string("; connection given up"), typedError.hint()),
+                    Error(typedError.kind(), "engine " + connection.endpoint().id,
+                          error.what() + std::string("; engine connection closed"), typedError.hint()),
                     {{"engine", connection.endpoint().id}, {"address", connection.addressName()}});
     connection.markFaulted();
   }
   removeConnection(position);
 }
 
-// What was not fully written was not executed and may go another way; anything else may have been executed.
+// An attempt that was not fully written was not executed and may be rerouted; any other may have been
+// executed.
 void EngineConnectionPool::removeConnection(ConnectionList::iterator position) {
   EngineConnection& connection = *position;
   EngineEndpoint& endpoint = connection.endpoint();
@@ -158,7 +159,7 @@
     addressBook_.recordOutcome(endpoint, connection.addressName(), addresses::ConnectOutcome::resetEarly);
   const std::vector<AttemptDisposition> dispositions = connection.close();
   connections_.erase(position);
-  // All reroutes are sent before any outcome is reported: what a report sets off may end them again.
+  // All reroutes are sent before any outcome is reported, because a report may trigger actions that end them.
   for (const AttemptDisposition& entry : dispositions)
     if (entry.disposition == addresses::Disposition::reroute) rerouteAttempt(*entry.attemptContext);
   for (const AttemptDisposition& entry : dispositions) {
@@ -191,8 +192,8 @@
 
 std::string EngineConnectionPool::formatCounts() const {
   return std::to_string(connections_.size()) + " connections, " + std::to_string(connector_.startedCount()) +
-         " dialled, " + std::to_string(connectionContext_.faultedConnections) + " spoilt, " +
-         std::to_string(reroutedAttempts_) + " dispatches moved";
+         " dialled, " + std::to_string(connectionContext_.faultedConnections) + " faulted, " +
+         std::to_string(reroutedAttempts_) + " attempts rerouted";
 }
 
 }  // namespace paddletrack::routing
--- a/src/routing/engine_connection_pool.hpp
+++ b/src/routing/engine_connection_pool.hpp
@@ -19,8 +19,8 @@
 namespace paddletrack::routing {
 
 /// Sends attempts to engines. Owns the connections to all engines, opens and closes them, and selects the
-/// connection of each attempt. Reports each attempt that ends by itself to the listener, always from the
-/// scheduler loop and never from within a call made here.
+/// connection of each attempt. Reports each attempt that ends without being recalled or abandoned to the
+/// listener, always from the scheduler loop and never from within a call on the pool.
 class EngineConnectionPool {
  public:
   using AttemptListener = routing::AttemptListener;
@@ -36,17 +36,19 @@
   EngineConnectionPool(transport::Scheduler& scheduler, transport::OutputBudget& outputBudget,
                        const Limits& limits, AttemptListener& listener, const Logger& logger);
 
-  /// Sends an attempt to its engine, now or as soon as a connection is up. Throws std::bad_alloc.
+  /// Sends an attempt to its engine, immediately or as soon as a connection is established. Throws
+  /// std::bad_alloc.
   void sendAttempt(AttemptContext& attemptContext);
-  /// Ends an attempt that may have been sent; it is not reported any more.
+  /// Ends an attempt that may have been sent; its outcome is not reported.
   void abandonAttempt(AttemptContext& attemptContext);
-  /// Takes an attempt back and returns true if its engine cannot have received it whole, nor will.
+  /// Withdraws an attempt and returns true if its engine has not received and cannot receive all of it;
+  /// otherwise returns false.
   bool recallAttempt(AttemptContext& attemptContext);
-  /// Sends the current priority of the attempt's request to the engine, if it can still matter there.
+  /// Sends the current priority of the attempt's request to the engine, if it is on a connection.
   void updatePriority(AttemptContext& attemptContext);
   /// Counts of connections and reroutes, for the log.
   std::string formatCounts() const;
-  /// Starts a new incarnation of the endpoint: its present connections carry no new attempts.
+  /// Starts a new incarnation of the endpoint: its current connections carry no new attempts.
   void drainConnections(EngineEndpoint& endpoint);
   /// Replaces the addresses of an endpoint. Attempts that are open on a removed address may finish.
   void updateAddresses(EngineEndpoint& endpoint, const std::vector<std::string>& names, bool isNewProcess);
@@ -78,7 +80,7 @@
   ConnectionList connections_;
   std::uint64_t lastSerial_ = 0;
   std::uint64_t reroutedAttempts_ = 0;
-  std::vector<AttemptContext*> unplacedAttempts_;  ///< Found no connection; to be reported as unreachable.
+  std::vector<AttemptContext*> unplacedAttempts_;  ///< Without a connection; reported as unreachable.
   transport::ScheduledCall reportUnplacedCall_;
   /// Declared last, so that it is destroyed first: the coroutines use the connections and the connector.
   transport::TaskGroup connectionTasks_;
--- a/src/routing/engine_connector.cpp
+++ b/src/routing/engine_connector.cpp
@@ -20,14 +20,14 @@
 
 }  // namespace
 
-/// One address tried in a race: a connect and, where the address is suspect, a probe. It holds its place in
-/// the connect limits until it is destroyed, which also ends its coroutine.
+/// One connect attempt of a race: a connect and, if the address or engine is suspect, a probe. It counts
+/// against the connect limits until it is destroyed, which also ends its coroutine.
 class EngineConnector::ConnectAttempt {
  public:
   enum class State : std::uint8_t { connecting, probing, connected, failed };
 
-  /// `parallelConnects` counts the streams beside the first of a race, for each holds a descriptor that the
-  /// pool does not count as a connection. It is null for the first.
+  /// `parallelConnects` counts the streams in addition to the first of a race, because each holds a
+  /// descriptor that the pool does not count as a connection. It is null for the first.
   ConnectAttempt(EngineEndpoint& engineEndpoint, addresses::ConnectLimiter& connectLimiter,
                  std::size_t* parallelConnects, std::string name, Duration now,
                  transport::Scheduler& scheduler)
@@ -55,7 +55,7 @@
     failure = outcome;
     stream.reset();
   }
-  /// What is learned of the address when the race ends before this attempt.
+  /// The outcome to record for the address if the race ends before this attempt.
   ConnectOutcome outcomeIfUnfinished() const {
     return state == State::probing ? ConnectOutcome::unresponsive : ConnectOutcome::timedOut;
   }
@@ -123,7 +123,7 @@
 
 std::vector<std::string> EngineConnector::rankAddresses(const EngineConnection& connection) const {
   const addresses::AddressTable& addressTable = connection.endpoint().addressTable;
-  // A request that must not run twice is not used to find out whether an address works again.
+  // A non-idempotent request is not used to test whether an address has recovered.
   const bool avoidTrials = connection.hasQueuedNonIdempotentAttempt();
   std::vector<std::string> addressNames;
   for (const std::size_t index :
@@ -178,10 +178,10 @@
     attempt.fail(result.error == ETIMEDOUT ? ConnectOutcome::timedOut : ConnectOutcome::refused);
     logger_.warning(
         "dial",
-        SystemErrorOfKind<ErrorKind::connectFailed>("executor " + endpoint.id, "no connection", result.error),
+        SystemErrorOfKind<ErrorKind::connectFailed>("engine " + endpoint.id, "connect failed", result.error),
         {{"engine", endpoint.id}, {"address", attempt.addressName}});
   } else if (endpoint.addressesByName.count(attempt.addressName) == 0) {
-    attempt.fail(ConnectOutcome::refused);  // The address was removed meanwhile: nothing new goes there.
+    attempt.fail(ConnectOutcome::refused);  // Removed during the connect: gets no new attempts.
   } else {
     attempt.stream = std::make_unique<Connection>(scheduler_, std::move(result.descriptor),
                                                   kInitialInputBytes, kMaxInputBytes, outputBudget_);
@@ -194,9 +194,10 @@
   attemptFinished.set();
 }
 
-// The kernel of a machine accepts connections and bytes for a process that does not read. What accumulates
-// there could be executed long after the request was answered in another way. So where another connection is
-// silent, or where the address was silent before, the engine must answer a probe before it gets an attempt.
+// The kernel accepts connections and bytes for a process that does not read. Statements that accumulate there
+// could be executed long after their requests have been answered by another attempt. So if another connection
+// of the engine is silent, or the address was silent before, the engine must answer a probe before it gets an
+// attempt.
 bool EngineConnector::needsProbe(const EngineEndpoint& endpoint, const std::string& addressName) {
   const bool hasAlternatives = endpoint.addressTable.entries().size() > 1;
   if (hasAlternatives && endpoint.addressTable.isSuspect(addressName)) return true;
--- a/src/routing/engine_connector.hpp
+++ b/src/routing/engine_connector.hpp
@@ -17,23 +17,24 @@
 namespace paddletrack::routing {
 
 /// Connects engine connections: races the addresses of an engine against each other, as RFC 8305 describes,
-/// until one stream is up.
+/// until one stream is established.
 class EngineConnector {
  public:
-  /// `maxConnections`: of all engines together. `allowsParallelConnect` says whether a descriptor is left for
-  /// one more stream beside the first of a race. The references must outlive the connector, and the connector
-  /// must outlive the tasks of connect().
+  /// `maxConnections` limits the connections to all engines together. `allowsParallelConnect` returns whether
+  /// a descriptor is available for one more stream in addition to the first of a race. The references must
+  /// outlive the connector, and the connector must outlive the tasks of connect().
   EngineConnector(transport::Scheduler& scheduler, transport::OutputBudget& outputBudget,
                   EngineAddressBook& addressBook, const Logger& logger, std::size_t maxConnections,
                   std::function<bool()> allowsParallelConnect);
 
-  /// Calls connection.onConnected() and returns true once a stream is up; returns false when no address can
-  /// be reached in time. Attempts that lose the race are closed. The connection must outlive the task.
+  /// Calls connection.onConnected() and returns true once a stream is established; returns false if no
+  /// address can be reached in time. Attempts that lose the race are closed. The connection must outlive the
+  /// task.
   transport::Task<bool> connect(EngineConnection& connection);
 
-  /// Streams that are being connected beside the first of their race.
+  /// Streams that are being connected in addition to the first of their race.
   std::size_t parallelConnects() const { return parallelConnects_; }
-  /// Connect attempts since the start.
+  /// Connect attempts started since the process began.
   std::uint64_t startedCount() const { return connectLimiter_.startedCount(); }
 
  private:
--- a/src/routing/engine_endpoint.hpp
+++ b/src/routing/engine_endpoint.hpp
@@ -24,7 +24,7 @@
   std::vector<EngineConnection*> connections;  ///< Owned by the connection pool; includes connecting ones.
   std::uint64_t incarnation = 0;       ///< Changes when the engine restarts or must not get new attempts.
   std::size_t referencedAttempts = 0;  ///< Attempts to this engine whose request contexts still exist.
-  std::uint64_t attemptsSent = 0;      ///< Attempts to this engine since this controller knows it.
+  std::uint64_t attemptsSent = 0;      ///< Attempts sent to this engine since it was added.
 };
 
 }  // namespace paddletrack::routing
--- a/src/routing/engine_registry.cpp
+++ b/src/routing/engine_registry.cpp
@@ -19,7 +19,7 @@
   EngineEndpoint& endpoint = *endpoints_.emplace(engineId, std::move(newEndpoint)).first->second;
   endpoint.number = ++lastNumber_;
   const std::string number = std::to_string(endpoint.number);
-  logger_.info("list", "engine " + number + " is executor " + engineId,
+  logger_.info("list", "engine " + number + " has id " + engineId,
                {{"engine", engineId}, {"number", number}});
   return endpoint;
 }
--- a/src/routing/engine_registry.hpp
+++ b/src/routing/engine_registry.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The engines that the endpoint list has named.
+/// The engines of the endpoint list.
 #pragma once
 
 #include <cstddef>
@@ -14,15 +14,15 @@
 
 namespace paddletrack::routing {
 
-/// Owns the engines and gives each its number. An engine that the list names no longer stays until no request
-/// refers to it and it has no connection.
+/// Owns the engines and assigns each a number. An engine that is removed from the endpoint list is kept until
+/// no attempt refers to it and it has no connection.
 class EngineRegistry {
  public:
   explicit EngineRegistry(const Logger& logger) : logger_(logger) {}
 
-  /// The engine of this id, or a null pointer.
+  /// Returns the engine with this id, or nullptr.
   EngineEndpoint* find(const std::string& engineId) const;
-  /// The engine of this id, which is added if it is not known. Throws std::bad_alloc.
+  /// Returns the engine with this id, and adds it if it is unknown. Throws std::bad_alloc.
   EngineEndpoint& findOrAdd(const std::string& engineId);
 
   void markListed(EngineEndpoint& endpoint) { removedEndpoints_.erase(&endpoint); }
@@ -30,16 +30,16 @@
 
   bool empty() const { return endpoints_.empty(); }
   std::size_t size() const { return endpoints_.size(); }
-  /// The number of engines that were ever added.
+  /// The number of engines added since the start.
   std::uint32_t totalAdded() const { return lastNumber_; }
 
-  /// Calls `visit` with each engine, those marked as removed included.
+  /// Calls `visit` with each engine, including those marked as removed.
   template <typename Visitor>
   void forEach(Visitor visit) const {
     for (const auto& [engineId, endpoint] : endpoints_) visit(*endpoint);
   }
 
-  /// Destroys the engines that are marked as removed and not referred to, each after a call of `onForget`.
+  /// Destroys the engines that are marked as removed and unreferenced, and calls `onForget` with each before.
   template <typename ForgetHandler>
   void eraseUnreferenced(ForgetHandler onForget) {
     std::erase_if(removedEndpoints_, [&](EngineEndpoint* endpoint) {
--- a/src/routing/received_message_queue.cpp
+++ b/src/routing/received_message_queue.cpp
@@ -16,7 +16,7 @@
   if (!payloadLength) return std::nullopt;
   const std::size_t frameSize = thrift::kFrameHeaderBytes + *payloadLength;
   if (frameSize > input_.maxSize())
-    throw protocol::ParseError("a frame of " + std::to_string(*payloadLength) + " bytes");
+    throw protocol::ParseError("frame too long: " + std::to_string(*payloadLength) + " bytes");
   if (unqueued.size() < frameSize) {
     input_.expectSize(queuedBytes_ + frameSize);
     return std::nullopt;
@@ -43,7 +43,7 @@
 
 ReceivedMessageQueue::Entry ReceivedMessageQueue::popFront() {
   const Entry entry = entries_.front();
-  // A later request may have come with the same sequence number: its own entry stays.
+  // A later request may have the same sequence number; its entry must stay.
   if (const auto found = requestsBySequence_.find(entry.sequenceId);
       found != requestsBySequence_.end() && found->second == &entries_.front())
     requestsBySequence_.erase(found);
--- a/src/routing/received_message_queue.hpp
+++ b/src/routing/received_message_queue.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The messages that a client has sent and that were not handled yet.
+/// The messages received from a client that have not been handled yet.
 #pragma once
 
 #include <cstddef>
@@ -15,38 +15,39 @@
 
 namespace paddletrack::routing {
 
-/// Splits a connection's input into messages and queues them in the order of their arrival. A message's bytes
+/// Splits a connection's input into messages and queues them in the order of arrival. A message's bytes
 /// stay in the input buffer until `consume`. The buffer belongs to the connection, which outlives the queue.
 class ReceivedMessageQueue {
  public:
-  /// A complete message that has arrived.
+  /// A complete received message.
   struct Entry {
-    std::size_t size = 0;  ///< Bytes in the input buffer, with the frame header.
+    std::size_t size = 0;  ///< Bytes in the input buffer, including the frame header.
     std::int32_t sequenceId = 0;
     transport::TimePoint receivedAt{};
-    bool handled = false;  ///< A revocation that took effect on arrival, or a request that was revoked.
+    bool handled = false;  ///< Set for a revocation applied on arrival and for a revoked request.
   };
 
   ReceivedMessageQueue(transport::InputBuffer& input, std::size_t maxMessages)
       : input_(input), maxMessages_(maxMessages) {}
 
-  /// Queues the next complete message of the input and returns it; its views lie in the input buffer. Returns
-  /// nothing if no message is complete or the queue is full. Throws protocol::ParseError if the input is not
-  /// a message, and std::bad_alloc.
+  /// Queues the next complete message of the input and returns it; its views point into the input buffer.
+  /// Returns std::nullopt if no message is complete or the queue is full. Throws protocol::ParseError if the
+  /// input is not a message, and std::bad_alloc.
   std::optional<protocol::thrift::Message> queueNext(transport::TimePoint now);
 
-  /// The message that was queued last takes no further handling.
+  /// Marks the message that was queued last as handled.
   void markLastHandled() { entries_.back().handled = true; }
-  /// The queued request of this sequence number, if there is one, takes no further handling.
+  /// Marks the queued request with this sequence number, if there is one, as handled.
   void markRequestHandled(std::int32_t sequenceId);
 
   bool empty() const { return entries_.empty(); }
   bool isFull() const { return input_.isFull() || entries_.size() >= maxMessages_; }
   const Entry& front() const { return entries_.front(); }
-  /// Whether the input holds the first bytes of a message that is not complete, or that found the queue full.
+  /// Whether the input holds bytes that are not queued: a partial message, or messages beyond the queue's
+  /// limit.
   bool hasUnqueuedInput() const { return input_.view().size() > queuedBytes_; }
 
-  /// Removes the first entry. Its bytes remain the first of the input until they are passed to `consume`.
+  /// Removes the first entry. Its bytes stay at the start of the input until it is passed to `consume`.
   Entry popFront();
   /// The bytes of the entry that was popped last, without the frame header.
   std::string_view payload(const Entry& entry) const;
@@ -59,7 +60,7 @@
   transport::InputBuffer& input_;
   const std::size_t maxMessages_;
   std::deque<Entry> entries_;
-  std::size_t queuedBytes_ = 0;                                  // Bytes of the input that entries stand for.
+  std::size_t queuedBytes_ = 0;                                  // Bytes of the input that belong to entries.
   std::unordered_map<std::int32_t, Entry*> requestsBySequence_;  // Points into `entries_`.
 };
 
--- a/src/routing/request_context.hpp
+++ b/src/routing/request_context.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A client's request and its attempts, as the parts of the routing module share them.
+/// A client's request and its attempts, as shared by the classes of the routing module.
 #pragma once
 
 #include <cstdint>
@@ -29,17 +29,17 @@
   Attempt& attempt;
   transport::ScheduledCall timeoutCall;
   transport::TimePoint timesOutAt{};
-  transport::TimePoint sendDeadline{};  ///< Sending does not begin from then on.
+  transport::TimePoint sendDeadline{};  ///< Sending must not start at or after this time.
   std::uint64_t incarnation = 0;        ///< Of the engine, when the attempt started.
   bool recalled = false;                ///< By the router, before the attempt was sent.
 
   // Used by the connection pool only.
-  EngineConnection* connection = nullptr;  ///< None once the pool is done with the attempt.
-  std::uint64_t connectionSerial = 0;      ///< Of the last connection, kept when that has ended.
-  unsigned rerouteCount = 0;               ///< Connections that ended before they had sent all of it.
-  /// Offset in the connection's output stream at which all of the attempt is written; 0 while it is queued.
+  EngineConnection* connection = nullptr;  ///< nullptr once the pool has finished the attempt.
+  std::uint64_t connectionSerial = 0;      ///< Of the last connection, kept after that has closed.
+  unsigned rerouteCount = 0;               ///< Connections that closed before all of it was written.
+  /// Offset in the connection's output stream at which the attempt is fully written; 0 while it is queued.
   std::uint64_t streamEndOffset = 0;
-  std::uint32_t expectedPages = 0;  ///< 0 while no page has come.
+  std::uint32_t expectedPages = 0;  ///< 0 until the first page has arrived.
   std::uint32_t receivedPages = 0;
   std::vector<BufferSlice> pages;
 };
@@ -47,7 +47,7 @@
 /// One accepted request, which the client's session and the connection pool share. The router owns it until
 /// the request is finished and none of its attempts is in flight.
 struct RequestContext : Request {
-  /// Receives the final response. The router drops it after that, or when the client is gone.
+  /// Receives the final response. The router clears its pointer after that, or when the client is gone.
   class ResponseListener {
    public:
     virtual ~ResponseListener() = default;
--- a/src/routing/request_router.cpp
+++ b/src/routing/request_router.cpp
@@ -39,15 +39,15 @@
   return std::chrono::duration_cast<Duration>(scheduler_.now() - startedAt_);
 }
 
-// The admission controller decides in steps and calls back to the router in between. A decision that is
-// interrupted leaves the request, its attempts and the counts inconsistent, so that every later decision, an
-// orderly shutdown included, would rest on wrong state.
+// The admission controller decides in steps and calls back into the router between them. An interrupted
+// decision leaves the request, its attempts and the counts inconsistent, so that every later decision,
+// including an orderly shutdown, would be based on inconsistent state.
 template <typename Step>
 void RequestRouter::runDecision(Step step) {
   try {
     step();
   } catch (const std::exception& error) {
-    if (fatalErrorHandler_) fatalErrorHandler_(toError(error, "a decision under way"));
+    if (fatalErrorHandler_) fatalErrorHandler_(toError(error, "admission decision"));
     std::terminate();
   }
 }
@@ -117,8 +117,7 @@
 void RequestRouter::removeFinishedRequests() {
   for (RequestContext* const context : requestTable_.takeMarked()) {
     if (!context->finished) continue;
-    // Where cancelling is not allowed an attempt stays in flight, but one that was not sent is not sent any
-    // more.
+    // If cancelling is not allowed, an attempt that was sent stays in flight; an unsent one is recalled.
     for (const auto& attemptContext : context->attemptContexts) recall(attemptContext->attempt);
     if (context->inFlightCount() > 0) continue;
     for (const auto& attemptContext : context->attemptContexts)
@@ -150,8 +149,8 @@
   connectionPool_.sendAttempt(attemptContext);
 }
 
-// A request with an idempotency key may be sent again only within the idempotency window, which the admission
-// controller counts from the first attempt that may have run.
+// A request that is idempotent by key may be sent again only within the idempotency window, which the
+// admission controller counts from the first attempt that may have been executed.
 transport::TimePoint RequestRouter::sendDeadline(const Attempt& attempt) const {
   Duration deadline = attempt.timesOutAt;
   const RequestClass& requestClass = *attempt.request->requestClass;
@@ -165,8 +164,8 @@
 }
 
 void RequestRouter::onAttemptFinished(AttemptContext& attemptContext, AttemptOutcome outcome) {
-  // The attempt was cancelled after this outcome had come up. Its cancellation is reported in its turn, and
-  // an attempt has one outcome only.
+  // The attempt was cancelled before this outcome was reported. Its cancellation is reported separately, and
+  // an attempt has only one outcome.
   if (isCancelled(attemptContext)) return;
   RequestContext& context = attemptContext.requestContext;
   if (outcome == AttemptOutcome::completed && !context.finished) {
@@ -176,8 +175,8 @@
   reportOutcome(attemptContext, outcome);
 }
 
-// Runs first at the send deadline, when an attempt that was not sent entirely is recalled, and otherwise
-// again at the attempt's timeout.
+// Runs first at the send deadline and recalls an attempt that was not fully sent. Otherwise it runs again at
+// the attempt's timeout.
 void RequestRouter::onAttemptTimeout(AttemptContext& attemptContext) {
   if (scheduler_.now() < attemptContext.timesOutAt) {
     if (!recall(attemptContext.attempt)) attemptContext.timeoutCall.runAt(attemptContext.timesOutAt);
@@ -225,7 +224,8 @@
          cancelledAttempts_.end();
 }
 
-// The report waits for the next turn of the loop, as the admission controller cancels within its own call.
+// The report is deferred to the next loop iteration, because the admission controller cancels within its own
+// call.
 void RequestRouter::scheduleCancelledReport(AttemptContext& attemptContext) {
   attemptContext.timeoutCall.cancel();
   cancelledAttempts_.push_back(&attemptContext);
@@ -260,13 +260,13 @@
     record.zone = static_cast<unsigned>(protocol::indexOfName(config_.zoneNames, entry.zone, "zone"));
     record.machineType =
         static_cast<unsigned>(protocol::indexOfName(config_.machineTypeNames, entry.machineType, "kind"));
-    // The constructor throws if the only address is not valid.
+    // The constructor throws if the only address is invalid.
     if (entry.addresses.empty()) static_cast<void>(transport::Address(entry.address));
   } catch (const std::exception& error) {
-    logger_.warning("changelog",
-                    Error(ErrorKind::invalidEndpointEntry, "executor " + entry.id,
-                          std::string("passed over: ") + error.what()),
-                    {{"engine", entry.id}});
+    logger_.warning(
+        "changelog",
+        Error(ErrorKind::invalidEndpointEntry, "engine " + entry.id, std::string("skipped: ") + error.what()),
+        {{"engine", entry.id}});
     return std::nullopt;
   }
   record.cell = entry.cell;
@@ -281,8 +281,8 @@
 EngineEndpoint& RequestRouter::updateEngine(const protocol::EndpointEntry& entry,
                                             const EndpointRecord& record) {
   EngineEndpoint& endpoint = engineRegistry_.findOrAdd(entry.id);
-  // If another process runs there now, or none, open attempts may still end but no new ones use the
-  // connections.
+  // If the engine has restarted or is not ready, open attempts may finish, but new ones do not use its
+  // current connections.
   const bool isSameProcess = endpoint.endpoint.startedAt == record.startedAt;
   if (record.state != EndpointState::ready || !isSameProcess) connectionPool_.drainConnections(endpoint);
   std::vector<std::string> addressNames = entry.addresses;
@@ -296,7 +296,7 @@
   return endpoint;
 }
 
-// A snapshot names all engines, so those that it leaves out were removed.
+// A snapshot lists all engines, so an engine that is not in it has been removed.
 void RequestRouter::removeUnlistedEngines(const EndpointRecords& records) {
   engineRegistry_.forEach([&](EngineEndpoint& endpoint) {
     const bool isListed = std::any_of(records.begin(), records.end(),
@@ -354,11 +354,11 @@
 void RequestRouter::requestEndpoints() { discoveryRequested_ = true; }
 
 void RequestRouter::sendHealthCheck(Engine&) {
-  logger_.info("unsupported", "these pages have no message for probes");
+  logger_.info("unsupported", "the protocol has no health check message");
 }
 
 void RequestRouter::sendPeerReport(const std::vector<PeerEngineLoad>&) {
-  logger_.info("unsupported", "these pages have no message for peers");
+  logger_.info("unsupported", "the protocol has no peer report message");
 }
 
 // ---- Observation ----------------------------------------------------------------------------------------
@@ -375,22 +375,21 @@
 void RequestRouter::log(std::string_view text) { logger_.info("module", std::string(text)); }
 
 std::string RequestRouter::formatCounts() const {
-  static constexpr std::array<const char*, 9> kOutcomeNames{"done",      "error",       "turned away",
-                                                            "timed out", "unreachable", "reset",
-                                                            "withdrawn", "never sent",  "spoilt"};
+  static constexpr std::array<const char*, 9> kOutcomeNames{
+      "done", "error", "rejected", "timed out", "unreachable", "reset", "withdrawn", "never sent", "spoilt"};
   const auto responseCount = [this](RequestContext::ResponseKind kind) {
     return std::to_string(totals_.responses[static_cast<std::size_t>(kind)]);
   };
   using ResponseKind = RequestContext::ResponseKind;
   std::string text = std::to_string(requestTable_.size()) + " open, " + std::to_string(totals_.requests) +
-                     " taken, " + responseCount(ResponseKind::succeeded) + " done, " +
-                     responseCount(ResponseKind::rejected) + " throttled, " +
-                     responseCount(ResponseKind::failed) + " cancelled, " +
-                     std::to_string(totals_.clientsGone) + " left; dispatches:";
+                     " accepted, " + responseCount(ResponseKind::succeeded) + " succeeded, " +
+                     responseCount(ResponseKind::rejected) + " rejected, " +
+                     responseCount(ResponseKind::failed) + " failed, " + std::to_string(totals_.clientsGone) +
+                     " clients gone; attempts:";
   for (std::size_t index = 0; index < kOutcomeNames.size(); ++index)
     if (totals_.attemptOutcomes[index] > 0)
       text += " " + std::to_string(totals_.attemptOutcomes[index]) + " " + kOutcomeNames[index];
-  return text + "; " + std::to_string(engineRegistry_.size()) + " executors known of " +
+  return text + "; " + std::to_string(engineRegistry_.size()) + " engines known of " +
          std::to_string(engineRegistry_.totalAdded()) + ", " + connectionPool_.formatCounts();
 }
 
--- a/src/routing/request_router.hpp
+++ b/src/routing/request_router.hpp
@@ -23,9 +23,10 @@
 
 namespace paddletrack::routing {
 
-/// Turns events of the protocols into calls of the admission controller, and the controller's decisions into
-/// messages. It owns the requests and the engines. The admission controller is called from here only, and
-/// never from within its own call. All durations are on the router's clock, which starts at its construction.
+/// Converts protocol events to calls of the admission controller, and the controller's decisions to messages.
+/// It owns the requests and the engines. It is the only caller of the admission controller, and never calls
+/// it from within one of the controller's own calls. All durations are on the router's clock, which starts at
+/// its construction.
 class RequestRouter final : private AdmissionHost, private EngineConnectionPool::AttemptListener {
  public:
   struct Limits {
@@ -44,14 +45,14 @@
   std::size_t openRequestCount() const { return requestTable_.size(); }
   bool isFull() const { return requestTable_.size() >= limits_.maxOpenRequests; }
   bool hasOpenRequest(const std::string& requestId) const { return requestTable_.containsId(requestId); }
-  /// Hands the request to the admission controller. The response may come within this call. Throws
-  /// std::bad_alloc if there is no memory for the request, of which nothing is then kept.
+  /// Passes the request to the admission controller. The response may be given within this call. Throws
+  /// std::bad_alloc if there is no memory for the request, which is then discarded.
   void acceptRequest(std::unique_ptr<RequestContext> newContext);
   /// The client has revoked the request or disconnected. The context may be destroyed within this call.
   void onClientGone(RequestContext& context);
-  /// The process ends at this time: all deadlines and timeouts end then at the latest.
+  /// Limits all deadlines and timeouts to this time, at which the process ends.
   void setFinalDeadline(Duration finalDeadline);
-  /// Gives each open request its final response now.
+  /// Gives each open request its final response immediately.
   void finishAllRequests();
   std::size_t attemptsInFlight() const { return requestTable_.countAttemptsInFlight(); }
   /// Calls `visit` with each request that has no final response.
@@ -61,14 +62,14 @@
       if (!context.finished) visit(context);
     });
   }
-  /// Called for each request as soon as its response is on its way.
+  /// Called for each request once its response has been passed to the client's session.
   using ResponseCallback = std::function<void(const RequestContext&)>;
   void setResponseCallback(ResponseCallback callback) { responseCallback_ = std::move(callback); }
 
   // ---- Engines ----
   /// Whether any engine is known.
   bool isReady() const { return !engineRegistry_.empty(); }
-  /// Entries that are not valid are logged and skipped.
+  /// Applies an endpoint event. Invalid entries are logged and skipped.
   void onEndpointUpdate(const protocol::EndpointEvent& update);
   void onDiscoveryFailed();
   template <typename Visitor>
@@ -85,8 +86,8 @@
     connectionPool_.setFamilyPreference(std::move(preference));
   }
 
-  /// Says on which engines the requests of a data set should rather run, and is notified of each attempt. It
-  /// outlives its use here.
+  /// Provides the placement bias of engines for the requests of a data set, and is notified of each attempt.
+  /// It must outlive its use by the router.
   class PlacementBiasSource {
    public:
     virtual ~PlacementBiasSource() = default;
@@ -99,8 +100,8 @@
   // ---- Observation ----
   /// Records all decisions from now on. The recorder outlives the router.
   void enableRecording(counterfactual::DecisionRecorder& recorder);
-  /// Called when a decision was interrupted by an exception, after which no state of the router can be
-  /// trusted. The handler must not return. Without one the process calls std::terminate.
+  /// Sets the handler for a decision that an exception interrupted, after which the router's state is
+  /// inconsistent. The handler must not return. Without a handler, std::terminate is called.
   void setFatalErrorHandler(std::function<void(const Error&)> handler) {
     fatalErrorHandler_ = std::move(handler);
   }
@@ -111,7 +112,7 @@
     std::array<std::uint64_t, 9> attemptOutcomes{};  ///< Indexed by AttemptOutcome.
   };
   const Totals& totals() const { return totals_; }
-  /// One line for the log.
+  /// Returns the counts of requests, attempts and engines as one line for the log.
   std::string formatCounts() const;
 
  private:
@@ -161,7 +162,7 @@
   const transport::TimePoint startedAt_;
   const std::chrono::system_clock::time_point startedAtWallClock_;
   std::optional<Duration> finalDeadline_;
-  bool discoveryRequested_ = false;  // The admission controller waits for the endpoint list.
+  bool discoveryRequested_ = false;  // The admission controller has requested the endpoint list.
   Totals totals_;
   ResponseCallback responseCallback_;
   PlacementBiasSource* placementBiasSource_ = nullptr;
--- a/src/routing/request_table.hpp
+++ b/src/routing/request_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The requests that the router has accepted and not forgotten.
+/// The requests that the router has accepted and not removed.
 #pragma once
 
 #include <cstddef>
@@ -14,11 +14,11 @@
 namespace paddletrack::routing {
 
 /// Owns the requests from their acceptance until they are finished and none of their attempts is in flight.
-/// Requests that may have come to that are marked while a decision runs and removed after it, as the decision
-/// still refers to them.
+/// Requests that may have reached this point are marked while a decision runs and removed after it, because
+/// the decision still refers to them.
 class RequestTable {
  public:
-  /// Throws std::bad_alloc, and is then unchanged.
+  /// Adds a request. Throws std::bad_alloc and then leaves the table unchanged.
   void add(std::unique_ptr<RequestContext> newContext);
   /// Destroys the request.
   void remove(RequestContext& context);
@@ -27,7 +27,7 @@
   bool containsId(const std::string& requestId) const { return requestIds_.contains(requestId); }
   std::size_t countAttemptsInFlight() const;
 
-  /// Calls `visit` with each request, finished ones included, in the order of acceptance.
+  /// Calls `visit` with each request, including finished ones, in the order of acceptance.
   template <typename Visitor>
   void forEach(Visitor visit) const {
     for (const auto& request : requests_) visit(*request);
--- a/src/routing/service_gate.hpp
+++ b/src/routing/service_gate.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Whether this controller is in service, as its load balancers and its clients see it.
+/// Whether this controller is in service for its load balancers and clients.
 #pragma once
 
 #include <optional>
@@ -17,8 +17,8 @@
   /// Called for each heartbeat before it is answered. Returns whether the answer is "healthy".
   virtual bool onHeartbeat() = 0;
 
-  /// Called for each valid request. Returns nothing if the request is to be accepted; otherwise the request
-  /// is rejected with this retry-after duration, where 0 means that none is sent to the client.
+  /// Called for each valid request. Returns std::nullopt if the request is accepted; otherwise the request is
+  /// rejected with this Retry-After duration, where 0 means that none is sent to the client.
   virtual std::optional<Duration> checkRejection() = 0;
 };
 
--- a/src/routing/submit_request.cpp
+++ b/src/routing/submit_request.cpp
@@ -17,9 +17,9 @@
 constexpr double kMaxDurationMs = 86400e3;  // One day.
 constexpr double kMaxMemoryMb = 1 << 20;    // One terabyte.
 
-// This process may read a request late and write its last response late while it waits for its core. A
-// request therefore ends this many times the configured response slack before its client's deadline, but
-// never more than the given part of the time that the client allows.
+// On a busy core this process may read a request late and write its final response late. The internal
+// deadline therefore precedes the client's deadline by this multiple of the configured response slack, but by
+// no more than this fraction of the client's timeout.
 constexpr int kDeadlineSlackFactor = 3;
 constexpr int kMaxSlackDivisor = 16;
 
@@ -44,7 +44,7 @@
   return Duration{std::llround(parseQuantity(name, milliseconds, kMaxDurationMs) * 1000)};
 }
 
-// The key is passed to engines as one field of a command and must not add other fields to it.
+// The key is passed to engines as one field of a command and must not add fields to it.
 bool isIdempotencyKeyCharacter(char character) {
   return character > ' ' && character <= '~' && character != ',' && character != '=';
 }
--- a/src/routing/submit_request.hpp
+++ b/src/routing/submit_request.hpp
@@ -10,9 +10,9 @@
 
 namespace paddletrack::routing {
 
-/// Fills `context` from a request as its client wrote it; the statement, which shares the input buffer, is
-/// left to the caller. `arrivedAt` is the time of arrival on the router's clock. Throws protocol::ParseError,
-/// which names the first field that is not valid.
+/// Fills `context` from a client's request, except for the statement, which shares the input buffer and is
+/// set by the caller. `arrivedAt` is the time of arrival on the router's clock. Throws protocol::ParseError,
+/// which names the first invalid field.
 void fillRequestContext(RequestContext& context, const protocol::thrift::SubmitRequest& submission,
                         const RequestRouter& router, Duration arrivedAt);
 
--- a/src/routing/unwritten_responses.hpp
+++ b/src/routing/unwritten_responses.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The responses of a client's connection that the kernel has not taken entirely.
+/// The responses of a client connection that the kernel has not fully accepted yet.
 #pragma once
 
 #include <cstddef>
@@ -8,15 +8,15 @@
 
 namespace paddletrack::routing {
 
-/// Remembers where each response ends in the connection's output stream. To its client a request is open
-/// until the whole response was written, so these count with the open requests.
+/// Records where each response ends in the connection's output stream. For its client, a request is open
+/// until its response has been fully written, so these count as open requests.
 class UnwrittenResponses {
  public:
-  /// `streamEndOffset`: bytes given to the connection so far, this response included.
+  /// `streamEndOffset` is the number of bytes passed to the connection so far, including this response.
   void add(std::int32_t sequenceId, std::uint64_t streamEndOffset) {
     responses_.push_back({sequenceId, streamEndOffset});
   }
-  /// The client has revoked the request and does not wait for the response any more.
+  /// Removes a response whose request the client has revoked, as the client no longer waits for it.
   void drop(std::int32_t sequenceId) {
     std::erase_if(responses_, [&](const Response& response) { return response.sequenceId == sequenceId; });
   }
--- a/tests/addresses/address_failover_test.cpp
+++ b/tests/addresses/address_failover_test.cpp
@@ -160,7 +160,7 @@
     front.loadGenerator.send(kind, 0);
     front.runUntil([&] { return front.loadGenerator.counters().open == 0; }, 3000ms);
     EXPECT_TRUE(front.hasLogged("silent")) << front.logText;
-    EXPECT_TRUE(front.router.formatCounts().find("1 dispatches moved") != std::string::npos)
+    EXPECT_TRUE(front.router.formatCounts().find("1 attempts rerouted") != std::string::npos)
         << front.router.formatCounts();
     EXPECT_EQ(executor.askCountAt(stalls), 0U);
     EXPECT_EQ(executor.askCountAt(0), 1U);
@@ -441,7 +441,7 @@
   EXPECT_LT(front.runRequestMs(0), 40);
   EXPECT_EQ(front.lastOutcome, Reply::Outcome::completed);
   for (const char* character :
-       {"unix:relative", "host.example:80", "'[::1'", "107 bytes at most", "48 addresses too many"})
+       {"unix:relative", "host.example:80", "'[::1'", "107 bytes at most", "48 addresses over the limit"})
     EXPECT_TRUE(front.hasLogged(character)) << character << front.logText;
 }
 
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -422,7 +422,7 @@
   run.fleet->endpointList().publish(
       {{"s-1", "127.0.82.1:18443", "active", "hall", "std-8", 0, {local, "[::1]:18483", "odd:"}}});
   EXPECT_TRUE(
-      run.runUntil([&] { return run.readLog().find("address passed over: 'odd:'") != std::string::npos; }));
+      run.runUntil([&] { return run.readLog().find("address skipped: 'odd:'") != std::string::npos; }));
   run.loadGenerator->start(0, {FakeFleet::lookUpProfile()});
   for (int index = 0; index < 40; ++index) run.loadGenerator->send(0, 0);
   EXPECT_TRUE(run.runUntil([&] { return run.loadGenerator->counters().open == 0; }));
--- a/tests/discovery/endpoint_watcher_test.cpp
+++ b/tests/discovery/endpoint_watcher_test.cpp
@@ -118,7 +118,7 @@
   watch.startWatcher();
   EXPECT_TRUE(watch.waitUntilFollowing());
   EXPECT_EQ(watch.firstList.queryTimes.size(), 2u);
-  EXPECT_TRUE(watch.hasLogged("silent: connecting anew"));
+  EXPECT_TRUE(watch.hasLogged("silent: reconnecting"));
 }
 
 // Bytes that are no line of it are no news: neither one a second, nor half a line for ever, nor empty lines.
@@ -269,7 +269,7 @@
   ASSERT_TRUE(watch.waitUntilFollowing());
   EXPECT_TRUE(watch.runUntil([&] { return watch.countEngines(EndpointState::ready) == 1000; }, 8s));
   watch.firstList.publish(makeManyServers(2000), true);
-  EXPECT_TRUE(watch.runUntil([&] { return watch.hasLogged("a line without an end"); }, 8s));
+  EXPECT_TRUE(watch.runUntil([&] { return watch.hasLogged("line exceeds the size limit"); }, 8s));
   EXPECT_EQ(watch.countEngines(EndpointState::ready), 1000u);
 }
 
--- a/tests/discovery/reconnect_schedule_test.cpp
+++ b/tests/discovery/reconnect_schedule_test.cpp
@@ -267,7 +267,7 @@
   start.listService().close();
   start.listService().behavior.lastVisibleSequence = 1;
   start.listService().open();
-  EXPECT_TRUE(start.runUntil([&] { return start.readLog(0).find("an old list") != std::string::npos; }, 6s));
+  EXPECT_TRUE(start.runUntil([&] { return start.readLog(0).find("outdated endpoint list") != std::string::npos; }, 6s));
   start.expectOneRequestServedEach();
   EXPECT_EQ(start.fleet->engine(5).askCount(), 2u);
 }
--- a/tests/routing/client_session_test.cpp
+++ b/tests/routing/client_session_test.cpp
@@ -1,4 +1,4 @@
-// Clients that disconnect, and connections that are closed, while something else happens.
+// Clients that disconnect, and connections that are closed, in races with other events.
 #include <fcntl.h>
 #include <netinet/tcp.h>
 #include <sys/socket.h>
@@ -18,13 +18,14 @@
 namespace {
 
 constexpr int kSubnet = 181;
-constexpr auto kMaxStartAfterDeparture = 100ms;  // no attempt may start later after its client is gone
+constexpr auto kMaxStartAfterDeparture = 100ms;  // after its client is gone
 
 enum class Departure { close, reset, halfClose, cancel };
 constexpr std::array<Departure, 4> kDepartures{Departure::close, Departure::reset, Departure::halfClose,
                                                Departure::cancel};
 
-// A client on a blocking socket, which acts at once, whether or not the controller's loop runs.
+// A client that uses its socket directly, so that it acts immediately, whether or not the controller's loop
+// runs.
 class RawClient {
  public:
   explicit RawClient(const RouterFixture& fixture, int receiveBufferSize = 0)
@@ -45,7 +46,7 @@
     const ssize_t count = ::send(fd_, text.data(), text.size(), MSG_NOSIGNAL);
     return count > 0 ? static_cast<std::size_t>(count) : 0;
   }
-  // Returns all bytes that have come, and how the connection ended if it did.
+  // Returns all bytes that have arrived, followed by "<closed>" or "<reset>" if the connection has ended.
   std::string receive() const {
     std::string received;
     for (;;) {
@@ -84,7 +85,8 @@
       if (isDone()) return true;
     return isDone();
   }
-  // Causes responses that this client does not read, until this many bytes are unsent in the controller.
+  // Sends messages without reading the responses until at least `minUnsentBytes` are unsent in the
+  // controller.
   bool backUpOutput(const RawClient& rawClient, std::size_t minUnsentBytes = 65537) {
     const std::string message =
         encodeMessage(1, std::string(4000, 'x'), 9, encodeInteger(0, 1));  // the exception repeats it
@@ -94,7 +96,7 @@
       return false;
     });
   }
-  // An engine with an established connection, which does not respond from now on.
+  // Adds an engine that has an established connection and does not respond from now on.
   FakeEngine& addConnectedEngine() {
     FakeEngine& engine = addEngine(1, respondDone);
     updateEndpoints({1});
@@ -103,7 +105,7 @@
     engine.receivedCommands.clear();
     return engine;
   }
-  // A request of its own for each number, from one client.
+  // Encodes a request whose id is derived from its sequence number.
   static std::string encodeNumberedSubmit(int sequence, int timeoutMs = 3000) {
     std::array<char, 17> id;
     std::snprintf(id.data(), id.size(), "%016x", static_cast<unsigned>(sequence));
@@ -112,200 +114,207 @@
   }
 };
 
-// Regression: the controller did not read from a client whose responses were backed up. The client had
-// disconnected, and its request went on.
+// Regression: the controller did not read from a client whose responses were backed up, so it did not notice
+// that the client had disconnected and continued its request.
 TEST(ClientSession, AbandonsRequestWhenClientLeavesWithResponsesBackedUp) {
-  for (const Departure way : kDepartures) {
-    ClientDepartureFixture front;
-    FakeEngine& peer = front.addConnectedEngine();
-    RawClient caller(front, 4096);
-    caller.send(encodeSubmit(1));
-    ASSERT_TRUE(front.runUntil([&] { return peer.receivedCommands == "ASK "; }));
-    ASSERT_TRUE(front.backUpOutput(caller));
-    ASSERT_EQ(front.router.openRequestCount(), 1U);
-    caller.depart(way);
-    // Well before the idle timeout. The limit of 0.1 s is checked below, over many clients.
-    EXPECT_TRUE(front.runUntil([&] { return front.router.totals().clientsGone == 1; }, 400ms))
-        << static_cast<int>(way);
-    EXPECT_TRUE(front.runUntil([&] { return front.router.openRequestCount() == 0; }))
-        << static_cast<int>(way);
-    peer.receivedCommands.clear();
-    front.runFor(50ms);
-    EXPECT_EQ(peer.receivedCommands.find("ASK"), std::string::npos) << static_cast<int>(way);
+  for (const Departure departure : kDepartures) {
+    ClientDepartureFixture fixture;
+    FakeEngine& engine = fixture.addConnectedEngine();
+    RawClient client(fixture, 4096);
+    client.send(encodeSubmit(1));
+    ASSERT_TRUE(fixture.runUntil([&] { return engine.receivedCommands == "ASK "; }));
+    ASSERT_TRUE(fixture.backUpOutput(client));
+    ASSERT_EQ(fixture.router.openRequestCount(), 1U);
+    client.depart(departure);
+    // Well before the idle timeout. The limit of 0.1 s is checked below with many clients.
+    EXPECT_TRUE(fixture.runUntil([&] { return fixture.router.totals().clientsGone == 1; }, 400ms))
+        << static_cast<int>(departure);
+    EXPECT_TRUE(fixture.runUntil([&] { return fixture.router.openRequestCount() == 0; }))
+        << static_cast<int>(departure);
+    engine.receivedCommands.clear();
+    fixture.runFor(50ms);
+    EXPECT_EQ(engine.receivedCommands.find("ASK"), std::string::npos) << static_cast<int>(departure);
   }
 }
 
-// Regression: complete requests waited in the input for their turn and were then sent to engines before the
-// revocations behind them were read.
+// Regression: complete requests that were queued in the input were sent to engines before the revocations
+// behind them were read.
 TEST(ClientSession, DropsBufferedRequestWhenClientLeaves) {
-  for (const Departure way : kDepartures) {
-    ClientDepartureFixture front;
-    FakeEngine& peer = front.addConnectedEngine();
-    RawClient caller(front, 4096);
-    ASSERT_TRUE(front.backUpOutput(caller));
-    caller.send(encodeSubmit(1));
-    front.runFor(5ms);
-    caller.depart(way);
-    front.runFor(5ms);
-    if (way == Departure::cancel ||
-        way == Departure::halfClose)  // it still reads: responses are written, and its request is handled
-      front.runUntil([&] { return caller.receive().empty() && front.clientListener.unsentBytes() == 0; });
-    front.runFor(20ms);
-    EXPECT_EQ(peer.receivedCommands, "") << static_cast<int>(way);
-    EXPECT_EQ(front.router.openRequestCount(), 0U);
+  for (const Departure departure : kDepartures) {
+    ClientDepartureFixture fixture;
+    FakeEngine& engine = fixture.addConnectedEngine();
+    RawClient client(fixture, 4096);
+    ASSERT_TRUE(fixture.backUpOutput(client));
+    client.send(encodeSubmit(1));
+    fixture.runFor(5ms);
+    client.depart(departure);
+    fixture.runFor(5ms);
+    // After these the client still reads, so responses are written and its request is handled.
+    if (departure == Departure::cancel || departure == Departure::halfClose)
+      fixture.runUntil([&] { return client.receive().empty() && fixture.clientListener.unsentBytes() == 0; });
+    fixture.runFor(20ms);
+    EXPECT_EQ(engine.receivedCommands, "") << static_cast<int>(departure);
+    EXPECT_EQ(fixture.router.openRequestCount(), 0U);
   }
 }
 
-// A process that was kept from its core reads late and in several steps. By then the input says that the
-// client is gone, though behind many other messages.
+// A process without CPU time reads late and in several steps. By then the input shows that the client is
+// gone, but behind many other messages.
 TEST(ClientSession, DropsRequestsWhenDepartureIsReadInSameDelayedTurn) {
-  for (const Departure way : kDepartures) {
-    ClientDepartureFixture front;
-    FakeEngine& peer = front.addConnectedEngine();
-    RawClient caller(front);
-    front.runFor(5ms);
-    std::string many;
-    for (int index = 1; index <= 30; ++index) many += ClientDepartureFixture::encodeNumberedSubmit(index);
-    for (int item = 31; item <= 60; ++item) many += encodeRevoke(item);
-    ASSERT_GT(many.size(), 4096U);  // more than one read returns
-    caller.send(many);
-    if (way != Departure::cancel) caller.depart(way);
-    for (int element = 1; way == Departure::cancel && element <= 30; ++element) caller.depart(way, element);
-    std::this_thread::sleep_for(kMaxStartAfterDeparture + 20ms);  // the loop stands still
-    front.runFor(20ms);
-    EXPECT_EQ(peer.receivedCommands, "") << static_cast<int>(way);
-    EXPECT_EQ(front.router.openRequestCount(), 0U);
+  for (const Departure departure : kDepartures) {
+    ClientDepartureFixture fixture;
+    FakeEngine& engine = fixture.addConnectedEngine();
+    RawClient client(fixture);
+    fixture.runFor(5ms);
+    std::string messages;
+    for (int index = 1; index <= 30; ++index) messages += ClientDepartureFixture::encodeNumberedSubmit(index);
+    for (int index = 31; index <= 60; ++index) messages += encodeRevoke(index);
+    ASSERT_GT(messages.size(), 4096U);  // more than one read can return
+    client.send(messages);
+    if (departure != Departure::cancel) client.depart(departure);
+    for (int index = 1; departure == Departure::cancel && index <= 30; ++index)
+      client.depart(departure, index);
+    std::this_thread::sleep_for(kMaxStartAfterDeparture + 20ms);  // the loop is blocked
+    fixture.runFor(20ms);
+    EXPECT_EQ(engine.receivedCommands, "") << static_cast<int>(departure);
+    EXPECT_EQ(fixture.router.openRequestCount(), 0U);
   }
 }
 
-// A client that sends and never reads is disconnected soon, as its revocations could no longer be read. Other
-// clients are served meanwhile, and its memory use is bounded.
+// A client that sends and never reads is disconnected soon, because its revocations could no longer be read.
+// Other clients are served in the meantime, and the memory for its responses is bounded.
 TEST(ClientSession, ClosesConnectionWhenClientSendsButNeverReads) {
-  ClientDepartureFixture front;
-  front.addEngine(1, respondDone);
-  front.updateEndpoints({1});
-  RawClient pusher(front, 4096);
-  ASSERT_TRUE(front.backUpOutput(pusher));
-  const std::string much = encodeMessage(1, std::string(4000, 'x'), 9, encodeInteger(0, 1));
-  std::size_t held = 0;
-  int served = 0;
-  EXPECT_TRUE(front.runUntil(
+  ClientDepartureFixture fixture;
+  fixture.addEngine(1, respondDone);
+  fixture.updateEndpoints({1});
+  RawClient sendingClient(fixture, 4096);
+  ASSERT_TRUE(fixture.backUpOutput(sendingClient));
+  const std::string message = encodeMessage(1, std::string(4000, 'x'), 9, encodeInteger(0, 1));
+  std::size_t maxUnsentBytes = 0;
+  int servedRequests = 0;
+  EXPECT_TRUE(fixture.runUntil(
       [&] {
-        pusher.send(much);
-        held = std::max(held, front.clientListener.unsentBytes());
-        served += front.contains(front.exchangeBytes(encodeSubmit(1 + served % 9), 5ms), "r\to\tw\n");
-        return front.clientListener.connectionCount() == 1;
+        sendingClient.send(message);
+        maxUnsentBytes = std::max(maxUnsentBytes, fixture.clientListener.unsentBytes());
+        servedRequests +=
+            fixture.contains(fixture.exchangeBytes(encodeSubmit(1 + servedRequests % 9), 5ms), "r\to\tw\n");
+        return fixture.clientListener.connectionCount() == 1;
       },
       5s));
-  EXPECT_TRUE(front.contains(front.clientListener.formatCounts(), "unfinished 1, idle 0"))
-      << front.clientListener.formatCounts();
-  EXPECT_GT(served, 2);
-  EXPECT_LT(held, 32 * 4200U + 65536U);
+  EXPECT_TRUE(fixture.contains(fixture.clientListener.formatCounts(), "incomplete 1, idle 0"))
+      << fixture.clientListener.formatCounts();
+  EXPECT_GT(servedRequests, 2);
+  EXPECT_LT(maxUnsentBytes, 32 * 4200U + 65536U);
 }
 
-// A valid client that reads slowly gets the responses to all of its 32 requests, however long they are backed
-// up.
+// A valid client that reads slowly gets the responses to all of its 32 requests, no matter how long they are
+// backed up.
 TEST(ClientSession, DeliversAllResponsesWhenClientReadsSlowly) {
-  ClientDepartureFixture front(10, "familyInfo.kindCores=64\n");
+  ClientDepartureFixture fixture(10, "familyInfo.kindCores=64\n");
   const std::string row = std::string(5990, 'v') + "\t\t\n";
-  front.addEngine(1, [&](FakeEngine&, Connection& to, const std::string& word, const std::string& id) {
-    if (word == "ASK") FakeEngine::sendReply(to, {id, "200", "batches=4", row});
-    if (word == "NEXT")
-      for (const char* character : {"batch=1", "batch=2", "batch=3"})
-        FakeEngine::sendReply(to, {id, "chunk", character, row});
-  });
-  front.updateEndpoints({1});
-  RawClient caller(front, 4096);
-  std::string all;
-  for (int index = 1; index <= 32; ++index) caller.send(ClientDepartureFixture::encodeNumberedSubmit(index));
-  EXPECT_TRUE(front.runUntil([&] { return front.router.totals().responses[1] == 32; }))
-      << front.router.formatCounts() << front.clientListener.formatCounts();
-  const auto whole = [&] {
-    std::size_t answers = 0, at = 0;
-    while (const auto length = protocol::thrift::readFrameLength(std::string_view(all).substr(at))) {
-      if (all.size() < at + 4 + *length) break;
-      at += 4 + *length, ++answers;
+  fixture.addEngine(
+      1, [&](FakeEngine&, Connection& connection, const std::string& command, const std::string& id) {
+        if (command == "ASK") FakeEngine::sendReply(connection, {id, "200", "batches=4", row});
+        if (command == "NEXT")
+          for (const char* pageField : {"batch=1", "batch=2", "batch=3"})
+            FakeEngine::sendReply(connection, {id, "chunk", pageField, row});
+      });
+  fixture.updateEndpoints({1});
+  RawClient client(fixture, 4096);
+  std::string received;
+  for (int index = 1; index <= 32; ++index) client.send(ClientDepartureFixture::encodeNumberedSubmit(index));
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.router.totals().responses[1] == 32; }))
+      << fixture.router.formatCounts() << fixture.clientListener.formatCounts();
+  const auto countResponses = [&] {
+    std::size_t responseCount = 0, offset = 0;
+    while (const auto payloadLength =
+               protocol::thrift::readFrameLength(std::string_view(received).substr(offset))) {
+      if (received.size() < offset + 4 + *payloadLength) break;
+      offset += 4 + *payloadLength, ++responseCount;
     }
-    return answers;
+    return responseCount;
   };
-  EXPECT_TRUE(front.runUntil([&] { return all += caller.receive(), whole() == 32; })) << whole();
+  EXPECT_TRUE(fixture.runUntil([&] { return received += client.receive(), countResponses() == 32; }))
+      << countResponses();
 }
 
-// ---- Closes by the controller ---------------------------------------------------------------------------
+// ---- Connections closed by the controller ---------------------------------------------------------------
 
 std::string encodeHeartbeat() { return encodeMessage(1, "heartbeat", 90, encodeInteger(0, 1)); }
 
-// Regression: the idle timeout had passed while a request was already in the socket, which met a reset.
+// Regression: the idle timeout passed while a request was already in the socket, and the connection was
+// reset.
 TEST(ClientSession, ServesRequestWhenItArrivesAtIdleTimeout) {
-  ClientDepartureFixture front;
-  front.addEngine(1, respondDone);
-  front.updateEndpoints({1});
-  RawClient caller(front);
-  caller.send(encodeHeartbeat());
-  front.runFor(20ms);
-  EXPECT_FALSE(caller.receive().empty());
+  ClientDepartureFixture fixture;
+  fixture.addEngine(1, respondDone);
+  fixture.updateEndpoints({1});
+  RawClient client(fixture);
+  client.send(encodeHeartbeat());
+  fixture.runFor(20ms);
+  EXPECT_FALSE(client.receive().empty());
   std::this_thread::sleep_for(720ms);  // the loop does not run until the idle timeout of 700 ms has passed
-  caller.send(encodeSubmit(1));
-  front.runFor(100ms);
-  EXPECT_TRUE(front.contains(caller.receive(), "r\to\tw\n"));
+  client.send(encodeSubmit(1));
+  fixture.runFor(100ms);
+  EXPECT_TRUE(fixture.contains(client.receive(), "r\to\tw\n"));
 }
 
-// The same for a session that is evicted at the connection limit, in each turn of the loop in which that can
-// happen.
+// The same for a session that is evicted at the connection limit: the request is sent in the loop iteration
+// in which the limit is reached.
 TEST(ClientListener, ServesRequestAndEvictsOtherConnectionWhenItArrivesDuringEviction) {
-  ClientDepartureFixture front;
-  front.addEngine(1, respondDone);
-  front.updateEndpoints({1});
-  std::vector<std::unique_ptr<RawClient>> callers;
+  ClientDepartureFixture fixture;
+  fixture.addEngine(1, respondDone);
+  fixture.updateEndpoints({1});
+  std::vector<std::unique_ptr<RawClient>> clients;
   for (int index = 0; index < 9; ++index) {
-    callers.push_back(std::make_unique<RawClient>(front));
-    callers.back()->send(encodeHeartbeat());
-    front.runFor(5ms);
+    clients.push_back(std::make_unique<RawClient>(fixture));
+    clients.back()->send(encodeHeartbeat());
+    fixture.runFor(5ms);
   }
-  ASSERT_EQ(front.clientListener.connectionCount(), 9U);
-  bool said = false;
-  transport::ScheduledCall look(front);
-  look.setAction([&] {
-    if (!said && front.clientListener.connectionCount() == 10) said = true, callers[0]->send(encodeSubmit(1));
-    look.runSoon();
+  ASSERT_EQ(fixture.clientListener.connectionCount(), 9U);
+  bool requestSent = false;
+  transport::ScheduledCall sendRequestCall(fixture);
+  sendRequestCall.setAction([&] {
+    if (!requestSent && fixture.clientListener.connectionCount() == 10)
+      requestSent = true, clients[0]->send(encodeSubmit(1));
+    sendRequestCall.runSoon();
   });
-  look.runSoon();
-  RawClient last(front);
-  last.send(encodeHeartbeat());
-  EXPECT_TRUE(front.runUntil([&] { return front.contains(callers[0]->receive(), "r\to\tw\n"); }));
-  EXPECT_TRUE(front.runUntil([&] { return !last.receive().empty(); }));
-  EXPECT_TRUE(said);
-  EXPECT_TRUE(front.runUntil([&] { return front.contains(callers[1]->receive(), "<closed>"); }));
+  sendRequestCall.runSoon();
+  RawClient newClient(fixture);
+  newClient.send(encodeHeartbeat());
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.contains(clients[0]->receive(), "r\to\tw\n"); }));
+  EXPECT_TRUE(fixture.runUntil([&] { return !newClient.receive().empty(); }));
+  EXPECT_TRUE(requestSent);
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.contains(clients[1]->receive(), "<closed>"); }));
 }
 
-// A request that crosses the close is not sent to an engine, and no response that the client has not read is
-// lost.
+// A request that crosses the close is not sent to an engine, and no response that the client has not yet read
+// is lost.
 TEST(ClientSession, DropsLateRequestsAndKeepsLastResponseWhenServerHalfCloses) {
-  for (const bool unreadable : {false, true}) {
-    ClientDepartureFixture front;
-    FakeEngine& peer = front.addEngine(1, respondDone);
-    front.updateEndpoints({1});
-    RawClient caller(front);
-    caller.send(encodeSubmit(1));
-    EXPECT_TRUE(front.runUntil([&] { return front.router.totals().responses[1] == 1; }));
-    front.runFor(10ms);
-    const std::string much(48 * 1024, 'x');
-    if (unreadable) {
-      caller.send(much);
-      front.runFor(10ms);
+  for (const bool sendsInvalidData : {false, true}) {
+    ClientDepartureFixture fixture;
+    FakeEngine& engine = fixture.addEngine(1, respondDone);
+    fixture.updateEndpoints({1});
+    RawClient client(fixture);
+    client.send(encodeSubmit(1));
+    EXPECT_TRUE(fixture.runUntil([&] { return fixture.router.totals().responses[1] == 1; }));
+    fixture.runFor(10ms);
+    const std::string invalidData(48 * 1024, 'x');
+    if (sendsInvalidData) {
+      client.send(invalidData);
+      fixture.runFor(10ms);
     } else {
-      EXPECT_TRUE(front.runUntil([&] { return front.clientListener.connectionCount() == 0; }));
+      EXPECT_TRUE(fixture.runUntil([&] { return fixture.clientListener.connectionCount() == 0; }));
     }
     for (int index = 2; index <= 4; ++index) {
-      caller.send(encodeSubmit(index));
-      front.runFor(5ms);
+      client.send(encodeSubmit(index));
+      fixture.runFor(5ms);
     }
-    const std::string heard = caller.receive();
-    EXPECT_TRUE(front.contains(heard, "r\to\tw\n")) << unreadable;
-    EXPECT_TRUE(front.contains(heard, "<closed>")) << unreadable;
-    EXPECT_EQ(peer.receivedCommands, "ASK ") << unreadable;
+    const std::string received = client.receive();
+    EXPECT_TRUE(fixture.contains(received, "r\to\tw\n")) << sendsInvalidData;
+    EXPECT_TRUE(fixture.contains(received, "<closed>")) << sendsInvalidData;
+    EXPECT_EQ(engine.receivedCommands, "ASK ") << sendsInvalidData;
     EXPECT_TRUE(
-        front.runUntil([&] { return front.clientListener.openSocketCount() == 1; }, 1s));  // the listener
+        fixture.runUntil([&] { return fixture.clientListener.openSocketCount() == 1; }, 1s));  // the listener
   }
 }
 
@@ -329,242 +338,249 @@
   std::size_t connectionsAtExit = 0, openRequestsAtExit = 0;
 };
 
-// Idle clients send a request around the moment at which the controller closes them, one each millisecond.
-// Each gets its response, or finds its connection closed and its request not sent to an engine. None is
-// reset.
+// Idle clients send requests, one client every 5 ms, around the time at which the controller closes their
+// connections. Each request gets its response, or its connection is closed and it is not sent to an engine.
+// No connection is reset.
 TEST(ServiceLifecycle, AnswersRequestOrClosesCleanlyWhenItArrivesAtShutdown) {
-  ShutdownFixture front;
-  std::set<std::string> asked;
-  front.engines[0]->onCommand = [&](FakeEngine& self, Connection& to, const std::string& word,
-                                    const std::string& id) {
-    if (word == "ASK") asked.insert(id);
-    respondDone(self, to, word, id);
+  ShutdownFixture fixture;
+  std::set<std::string> attemptIds;
+  fixture.engines[0]->onCommand = [&](FakeEngine& self, Connection& connection, const std::string& command,
+                                      const std::string& id) {
+    if (command == "ASK") attemptIds.insert(id);
+    respondDone(self, connection, command, id);
   };
-  std::vector<std::unique_ptr<RawClient>> callers;
-  std::vector<std::string> heard(40);
+  std::vector<std::unique_ptr<RawClient>> clients;
+  std::vector<std::string> received(40);
   for (int index = 0; index < 40; ++index) {
-    callers.push_back(std::make_unique<RawClient>(front));
-    callers.back()->send(encodeHeartbeat());
+    clients.push_back(std::make_unique<RawClient>(fixture));
+    clients.back()->send(encodeHeartbeat());
   }
-  front.runFor(50ms);
-  for (std::size_t item = 0; item < 40; ++item) EXPECT_FALSE(callers[item]->receive().empty());
-  front.lifecycle.onTerminate();
-  front.lifecycle.onTerminate();  // a second SIGTERM changes nothing
-  const transport::TimePoint told = front.now();
-  front.runFor(400ms);
-  for (const auto& caller : callers) caller->send(encodeHeartbeat());  // so that they are not idle
-  front.runFor(50ms);
-  for (const auto& caller : callers) caller->receive();
-  std::size_t next = 0;
-  EXPECT_TRUE(front.runUntil([&] {
-    if (front.now() > told + 740ms + 5ms * next && next < 40) {
-      callers[next]->send(ClientDepartureFixture::encodeNumberedSubmit(static_cast<int>(next) + 1));
-      ++next;
+  fixture.runFor(50ms);
+  for (std::size_t index = 0; index < 40; ++index) EXPECT_FALSE(clients[index]->receive().empty());
+  fixture.lifecycle.onTerminate();
+  fixture.lifecycle.onTerminate();  // a second SIGTERM changes nothing
+  const transport::TimePoint terminatedAt = fixture.now();
+  fixture.runFor(400ms);
+  for (const auto& client : clients) client->send(encodeHeartbeat());  // keeps them from being idle
+  fixture.runFor(50ms);
+  for (const auto& client : clients) client->receive();
+  std::size_t nextClient = 0;
+  EXPECT_TRUE(fixture.runUntil([&] {
+    if (fixture.now() > terminatedAt + 740ms + 5ms * nextClient && nextClient < 40) {
+      clients[nextClient]->send(
+          ClientDepartureFixture::encodeNumberedSubmit(static_cast<int>(nextClient) + 1));
+      ++nextClient;
     }
-    return front.exited;
+    return fixture.exited;
   }));
-  front.runFor(5ms);
-  std::size_t answered = 0;
-  for (std::size_t element = 0; element < 40; ++element) {
-    heard[element] = callers[element]->receive();
-    EXPECT_FALSE(front.contains(heard[element], "<reset>")) << element;
-    const bool served = front.contains(heard[element], "r\to\tw\n");
-    answered += served;
-    EXPECT_TRUE(served || front.contains(heard[element], "<closed>")) << element;
+  fixture.runFor(5ms);
+  std::size_t answeredRequests = 0;
+  for (std::size_t index = 0; index < 40; ++index) {
+    received[index] = clients[index]->receive();
+    EXPECT_FALSE(fixture.contains(received[index], "<reset>")) << index;
+    const bool isServed = fixture.contains(received[index], "r\to\tw\n");
+    answeredRequests += isServed;
+    EXPECT_TRUE(isServed || fixture.contains(received[index], "<closed>")) << index;
   }
-  EXPECT_EQ(asked.size(), answered);
-  EXPECT_GT(answered, 0U);
-  EXPECT_EQ(front.connectionsAtExit, 0U);
-  EXPECT_EQ(front.openRequestsAtExit, 0U);
-  EXPECT_TRUE(front.contains(front.logText, "0 requests open at the end"));
+  EXPECT_EQ(attemptIds.size(), answeredRequests);
+  EXPECT_GT(answeredRequests, 0U);
+  EXPECT_EQ(fixture.connectionsAtExit, 0U);
+  EXPECT_EQ(fixture.openRequestsAtExit, 0U);
+  EXPECT_TRUE(fixture.contains(fixture.logText, "0 requests open at the end"));
 }
 
-// A client that waits in the backlog at the connection limit when the shutdown begins is accepted and gets
-// its response.
+// A client that connects when the shutdown begins gets its response, or its connection is reset if it was
+// still in the backlog. No request is open when the process ends.
 TEST(ServiceLifecycle, AnswersOrResetsBacklogConnectionAndLeavesNoOpenRequestWhenProcessEnds) {
-  ShutdownFixture front;
-  front.lifecycle.onTerminate();
-  front.runFor(700ms);
+  ShutdownFixture fixture;
+  fixture.lifecycle.onTerminate();
+  fixture.runFor(700ms);
   std::this_thread::sleep_for(10ms);
-  std::optional<RawClient> late;
-  transport::ScheduledCall look(front);  // in the turn of the loop in which the shutdown begins
-  look.setAction([&] {
-    if (front.clientListener.openSocketCount() == 1 && !late && front.clientListener.isClosing()) {
-      late.emplace(front);
-      late->send(encodeSubmit(1));
+  std::optional<RawClient> lateClient;
+  transport::ScheduledCall connectCall(fixture);  // runs in the loop iteration in which the shutdown begins
+  connectCall.setAction([&] {
+    if (fixture.clientListener.openSocketCount() == 1 && !lateClient && fixture.clientListener.isClosing()) {
+      lateClient.emplace(fixture);
+      lateClient->send(encodeSubmit(1));
       return;
     }
-    look.runSoon();
+    connectCall.runSoon();
   });
-  look.runSoon();
-  std::string heard;
-  EXPECT_TRUE(front.runUntil([&] {
-    if (late) heard += late->receive();
-    return front.exited;
+  connectCall.runSoon();
+  std::string received;
+  EXPECT_TRUE(fixture.runUntil([&] {
+    if (lateClient) received += lateClient->receive();
+    return fixture.exited;
   }));
-  if (late) heard += late->receive();
-  EXPECT_TRUE(front.contains(heard, "r\to\tw\n") || front.contains(heard, "<reset>")) << heard;
-  EXPECT_EQ(front.openRequestsAtExit, 0U);
+  if (lateClient) received += lateClient->receive();
+  EXPECT_TRUE(fixture.contains(received, "r\to\tw\n") || fixture.contains(received, "<reset>")) << received;
+  EXPECT_EQ(fixture.openRequestsAtExit, 0U);
 }
 
-// Engines hang under long timeouts, a drain is in progress and a frame stays incomplete: the process still
-// ends in time, and each request has its response before.
+// Engines hang, requests have long timeouts, a drain is in progress and a frame stays incomplete: the process
+// still ends in time, after each request has got its response.
 TEST(ServiceLifecycle, ShutsDownInTimeWhenEnginesHangAndDrainIsUnderWay) {
-  ShutdownFixture front;
-  front.engines[0]->onCommand = ignoreCommand;
-  RawClient caller(front), half(front);
-  caller.send(ClientDepartureFixture::encodeNumberedSubmit(1, 16000));
-  half.send(encodeSubmit(2).substr(0, 30));
-  front.runFor(30ms);
-  EXPECT_EQ(front.lifecycle.requestDrain(Duration{20s}, std::nullopt, "test"), drain::DrainError::none);
-  front.runFor(20ms);
-  const transport::TimePoint asked = front.now();
-  front.lifecycle.onTerminate();
-  std::string heard;
-  EXPECT_TRUE(front.runUntil([&] { return heard += caller.receive(), front.exited; }, 3s));
-  EXPECT_LT(front.now() - asked,
+  ShutdownFixture fixture;
+  fixture.engines[0]->onCommand = ignoreCommand;
+  RawClient client(fixture), partialClient(fixture);
+  client.send(ClientDepartureFixture::encodeNumberedSubmit(1, 16000));
+  partialClient.send(encodeSubmit(2).substr(0, 30));
+  fixture.runFor(30ms);
+  EXPECT_EQ(fixture.lifecycle.requestDrain(Duration{20s}, std::nullopt, "test"), drain::DrainError::none);
+  fixture.runFor(20ms);
+  const transport::TimePoint terminatedAt = fixture.now();
+  fixture.lifecycle.onTerminate();
+  std::string received;
+  EXPECT_TRUE(fixture.runUntil([&] { return received += client.receive(), fixture.exited; }, 3s));
+  EXPECT_LT(fixture.now() - terminatedAt,
             2700ms);  // SIGKILL comes after the longest request timeout, 2 s, and 0.7 s more
-  heard += caller.receive();
-  EXPECT_TRUE(front.contains(heard, "refused") || front.contains(heard, "cooldown") ||
-              front.contains(heard, "failed"));
-  EXPECT_TRUE(front.contains(heard, "<closed>"));
-  EXPECT_EQ(front.openRequestsAtExit, 0U);
+  received += client.receive();
+  EXPECT_TRUE(fixture.contains(received, "refused") || fixture.contains(received, "cooldown") ||
+              fixture.contains(received, "failed"));
+  EXPECT_TRUE(fixture.contains(received, "<closed>"));
+  EXPECT_EQ(fixture.openRequestsAtExit, 0U);
 }
 
 // ---- Overload -------------------------------------------------------------------------------------------
 
 // Many clients connect at once, send many messages, some of them invalid, and disconnect. Other clients are
-// served, and nothing of the former remains.
+// still served, and no state of the disconnected clients remains.
 TEST(ClientListener, ServesOtherClientsWhenConnectionsFlood) {
-  ClientDepartureFixture front(100);
-  front.addEngine(1, respondDone);
-  front.updateEndpoints({1});
-  std::minstd_rand dice(5);
-  transport::Clock::duration longest{};
-  EXPECT_FALSE(front.exchangeBytes(encodeHeartbeat()).empty());
+  ClientDepartureFixture fixture(100);
+  fixture.addEngine(1, respondDone);
+  fixture.updateEndpoints({1});
+  std::minstd_rand random(5);
+  transport::Clock::duration longestWait{};
+  EXPECT_FALSE(fixture.exchangeBytes(encodeHeartbeat()).empty());
   for (int round = 0; round < 5; ++round) {
-    std::vector<std::unique_ptr<RawClient>> flood;
+    std::vector<std::unique_ptr<RawClient>> floodClients;
     for (int index = 0; index < 150; ++index) {
-      flood.push_back(std::make_unique<RawClient>(front));
-      std::string much;
-      for (int one = 1; one <= 60; ++one) {
-        const auto what = dice() % 4;
-        much += what == 0   ? encodeHeartbeat()
-                : what == 1 ? encodeSubmit(one, -5)
-                : what == 2 ? encodeSubmit(one % 30 + 1, 500, "q",
-                                           "00000000" + std::to_string(1000000 + dice() % 999999))
-                            : encodeRevoke(one);
+      floodClients.push_back(std::make_unique<RawClient>(fixture));
+      std::string messages;
+      for (int sequence = 1; sequence <= 60; ++sequence) {
+        const auto messageKind = random() % 4;
+        messages += messageKind == 0   ? encodeHeartbeat()
+                    : messageKind == 1 ? encodeSubmit(sequence, -5)
+                    : messageKind == 2
+                        ? encodeSubmit(sequence % 30 + 1, 500, "q",
+                                       "00000000" + std::to_string(1000000 + random() % 999999))
+                        : encodeRevoke(sequence);
       }
-      flood.back()->send(much);
+      floodClients.back()->send(messages);
     }
-    std::string answer = front.exchangeBytes(encodeSubmit(1 + round), 1ms);
-    const transport::TimePoint from = front.now();
-    EXPECT_TRUE(front.runUntil(
+    std::string received = fixture.exchangeBytes(encodeSubmit(1 + round), 1ms);
+    const transport::TimePoint startedAt = fixture.now();
+    EXPECT_TRUE(fixture.runUntil(
         [&] {
-          EXPECT_LE(front.clientListener.openSocketCount(), 101U);
-          return front.contains(answer += front.exchangeBytes("", 1ms), "r\to\tw\n");
+          EXPECT_LE(fixture.clientListener.openSocketCount(), 101U);
+          return fixture.contains(received += fixture.exchangeBytes("", 1ms), "r\to\tw\n");
         },
         2s))
-        << round << answer << front.clientListener.formatCounts() << front.router.formatCounts();
-    longest = std::max(longest, front.now() - from);
-    for (auto& rawClient : flood) rawClient->depart(kDepartures[dice() % 3]);
-    front.runFor(20ms);
+        << round << received << fixture.clientListener.formatCounts() << fixture.router.formatCounts();
+    longestWait = std::max(longestWait, fixture.now() - startedAt);
+    for (auto& rawClient : floodClients) rawClient->depart(kDepartures[random() % 3]);
+    fixture.runFor(20ms);
   }
-  EXPECT_TRUE(front.runUntil([&] {
-    return front.clientListener.openSocketCount() <= 2 && front.router.openRequestCount() == 0;
-  })) << front.clientListener.formatCounts();
-  EXPECT_EQ(front.clientListener.unsentBytes(), 0U);
-  RecordProperty("longest_ms", static_cast<int>(longest / 1ms));
-  std::printf("the other client waited %ld ms at most\n", static_cast<long>(longest / 1ms));
+  EXPECT_TRUE(fixture.runUntil([&] {
+    return fixture.clientListener.openSocketCount() <= 2 && fixture.router.openRequestCount() == 0;
+  })) << fixture.clientListener.formatCounts();
+  EXPECT_EQ(fixture.clientListener.unsentBytes(), 0U);
+  RecordProperty("longest_ms", static_cast<int>(longestWait / 1ms));
+  std::printf("longest wait of the other client: %ld ms\n", static_cast<long>(longestWait / 1ms));
 }
 
 // ---- Randomized -----------------------------------------------------------------------------------------
 
-// Clients disconnect in every way at random moments, most of them with queued requests: no attempt starts
-// later than 100 ms after that. PADDLETRACK_DEPARTURES=10000 runs the full count.
+// Clients disconnect in every way at random times, most of them with queued requests: no attempt starts later
+// than 100 ms after its client has gone. PADDLETRACK_DEPARTURES=10000 runs the full count.
 TEST(ClientSession, StartsNoAttemptAfterGracePeriodWhenClientsLeaveAtRandom) {
-  const char* const told = std::getenv("PADDLETRACK_DEPARTURES");
-  const int wanted = told ? std::atoi(told) : 800;
-  ClientDepartureFixture front(100);
-  std::minstd_rand dice(17);
-  std::map<std::string, std::pair<transport::TimePoint, transport::Clock::duration>> gone;
-  // Time in which the loop did not run, on a busy machine, is no delay of the controller and is subtracted.
-  transport::Clock::duration stood{};
-  transport::TimePoint ticked = front.now();
-  transport::ScheduledCall tick(front);
-  tick.setAction([&] {
-    const auto gap = front.now() - std::exchange(ticked, front.now());
-    if (gap > 20ms) stood += gap;
-    tick.runAt(front.now() + 1ms);
-  });
-  tick.runSoon();
-  std::map<std::string, int> asked;
-  int late = 0, lateNow = 0;
-  std::chrono::microseconds worst{0};
-  front.addEngine(1, [&](FakeEngine& self, Connection& to, const std::string& word, const std::string& id) {
-    if (word != "ASK") return;
-    ++asked[id];
-    if (const auto at = gone.find(id); at != gone.end()) {
-      const auto after = std::chrono::duration_cast<std::chrono::microseconds>(
-          front.now() - at->second.first - (stood - at->second.second));
-      worst = std::max(worst, after);
-      late += after > kMaxStartAfterDeparture;
-      ++lateNow;
-    }
-    if (dice() % 4 == 0)
-      respondDone(self, to, word, id);  // the others keep their threads until their timeout
+  const char* const departuresSetting = std::getenv("PADDLETRACK_DEPARTURES");
+  const int departureCount = departuresSetting ? std::atoi(departuresSetting) : 800;
+  ClientDepartureFixture fixture(100);
+  std::minstd_rand random(17);
+  std::map<std::string, std::pair<transport::TimePoint, transport::Clock::duration>> departures;
+  // Time in which the loop did not run on a busy machine is not a delay of the controller and is subtracted.
+  transport::Clock::duration stalledTime{};
+  transport::TimePoint lastTickAt = fixture.now();
+  transport::ScheduledCall tickCall(fixture);
+  tickCall.setAction([&] {
+    const auto gap = fixture.now() - std::exchange(lastTickAt, fixture.now());
+    if (gap > 20ms) stalledTime += gap;
+    tickCall.runAt(fixture.now() + 1ms);
   });
-  front.updateEndpoints({1});
-  struct One {
-    RawClient caller;
+  tickCall.runSoon();
+  std::map<std::string, int> attemptCounts;
+  int lateAttempts = 0, attemptsAfterDeparture = 0;
+  std::chrono::microseconds longestDelay{0};
+  fixture.addEngine(
+      1, [&](FakeEngine& self, Connection& connection, const std::string& command, const std::string& id) {
+        if (command != "ASK") return;
+        ++attemptCounts[id];
+        if (const auto departure = departures.find(id); departure != departures.end()) {
+          const auto delay = std::chrono::duration_cast<std::chrono::microseconds>(
+              fixture.now() - departure->second.first - (stalledTime - departure->second.second));
+          longestDelay = std::max(longestDelay, delay);
+          lateAttempts += delay > kMaxStartAfterDeparture;
+          ++attemptsAfterDeparture;
+        }
+        // The other requests hold their threads until they time out.
+        if (random() % 4 == 0) respondDone(self, connection, command, id);
+      });
+  fixture.updateEndpoints({1});
+  struct DepartingClient {
+    RawClient client;
     std::vector<std::string> ids;
-    transport::TimePoint leaves;
-    Departure way;
+    transport::TimePoint departsAt;
+    Departure departure;
   };
-  std::list<One> there, kept;
-  int departed = 0, waited = 0;
-  unsigned number = 0;
-  const auto step = [&] {
-    while (there.size() < 60 && departed + static_cast<int>(there.size()) < wanted) {
-      One& made = there.emplace_back(One{RawClient(front),
-                                         {},
-                                         front.now() + std::chrono::milliseconds(dice() % 80),
-                                         kDepartures[dice() % 4]});
-      std::string many;
+  std::list<DepartingClient> connectedClients, departedClients;
+  int departedCount = 0, requestsWithoutAttempt = 0;
+  unsigned lastRequestNumber = 0;
+  const auto advanceClients = [&] {
+    while (connectedClients.size() < 60 &&
+           departedCount + static_cast<int>(connectedClients.size()) < departureCount) {
+      DepartingClient& newClient = connectedClients.emplace_back(
+          DepartingClient{RawClient(fixture),
+                          {},
+                          fixture.now() + std::chrono::milliseconds(random() % 80),
+                          kDepartures[random() % 4]});
+      std::string messages;
       for (int index = 1; index <= 2; ++index) {
         std::array<char, 17> id;
-        std::snprintf(id.data(), id.size(), "%016x", ++number);
-        made.ids.emplace_back(id.data());
-        many += protocol::thrift::encodeSubmit(
+        std::snprintf(id.data(), id.size(), "%016x", ++lastRequestNumber);
+        newClient.ids.emplace_back(id.data());
+        messages += protocol::thrift::encodeSubmit(
             index, {{"service", "q"}, {"ref", id.data()}, {"allow", "1500"}}, "select 1");
       }
-      made.caller.send(many);
+      newClient.client.send(messages);
     }
-    for (auto item = there.begin(); item != there.end();) {
-      if (front.now() < item->leaves) {
-        ++item;
+    for (auto position = connectedClients.begin(); position != connectedClients.end();) {
+      if (fixture.now() < position->departsAt) {
+        ++position;
         continue;
       }
-      item->caller.depart(item->way, 1);
-      if (item->way == Departure::cancel) item->caller.depart(item->way, 2);
-      for (const std::string& id : item->ids) {
-        gone[id] = {front.now(), stood};
-        waited += asked.count(id) == 0;
+      position->client.depart(position->departure, 1);
+      if (position->departure == Departure::cancel) position->client.depart(position->departure, 2);
+      for (const std::string& id : position->ids) {
+        departures[id] = {fixture.now(), stalledTime};
+        requestsWithoutAttempt += attemptCounts.count(id) == 0;
       }
-      ++departed;
-      const auto going = item++;  // a half-closed connection stays for a while
-      kept.splice(kept.end(), there, going);
-      if (kept.size() > 20) kept.pop_front();
+      ++departedCount;
+      const auto departing = position++;  // keeps a half-closed connection open for a while
+      departedClients.splice(departedClients.end(), connectedClients, departing);
+      if (departedClients.size() > 20) departedClients.pop_front();
     }
-    return departed >= wanted;
+    return departedCount >= departureCount;
   };
-  EXPECT_TRUE(front.runUntil(step, 120s));
-  EXPECT_TRUE(front.runUntil([&] { return front.router.openRequestCount() == 0; }));
-  EXPECT_EQ(late, 0) << worst.count() << " us at worst";
-  EXPECT_GT(waited, wanted / 4);
+  EXPECT_TRUE(fixture.runUntil(advanceClients, 120s));
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.router.openRequestCount() == 0; }));
+  EXPECT_EQ(lateAttempts, 0) << longestDelay.count() << " us is the longest delay";
+  EXPECT_GT(requestsWithoutAttempt, departureCount / 4);
   std::printf(
-      "%d departures, %d jobs not yet sent on, %d asks after one, the last %ld us after, %d too late\n",
-      departed, waited, lateNow, static_cast<long>(worst.count()), late);
+      "%d departures, %d requests without an attempt, %d attempts after a departure, longest delay %ld us, "
+      "%d too late\n",
+      departedCount, requestsWithoutAttempt, attemptsAfterDeparture, static_cast<long>(longestDelay.count()),
+      lateAttempts);
 }
 
 }  // namespace
--- a/tests/routing/engine_connection_test.cpp
+++ b/tests/routing/engine_connection_test.cpp
@@ -1,6 +1,6 @@
 // Races between an attempt and its connection: the client leaves, the engine drains or restarts, the deadline
-// passes or the response arrives at the same time. Each race is forced, either by doing both between two
-// iterations of the loop or by a peer that withholds its response.
+// passes or the response arrives at the same time. Each race is forced: either both events occur between two
+// iterations of the loop, or a peer withholds its response.
 #include <gtest/gtest.h>
 
 #include "fakes/fake_engine.hpp"
@@ -43,11 +43,11 @@
 
   struct RecordingListener : RequestContext::ResponseListener {
     void onResponseReady(RequestContext& context) override {
-      answers.push_back(context.responseKind);
-      for (const BufferSlice& page : context.pages) rows += page.view();
+      responseKinds.push_back(context.responseKind);
+      for (const BufferSlice& page : context.pages) receivedRows += page.view();
     }
-    std::vector<RequestContext::ResponseKind> answers;
-    std::string rows;
+    std::vector<RequestContext::ResponseKind> responseKinds;
+    std::string receivedRows;
   };
 
   static std::string engineAddress(int host) { return "127.0.121." + std::to_string(host) + ":18443"; }
@@ -65,7 +65,7 @@
     event.entries.push_back(entry);
     router.onEndpointUpdate(event);
   }
-  // An attempt has been started when this returns; the loop has not run in between.
+  // An attempt has been started when this returns; the loop has not run in the meantime.
   RequestContext& submitRequest(std::size_t classIndex, Duration timeout = 2s,
                                 BufferSlice statement = BufferSlice(std::string("select 1"))) {
     auto newContext = std::make_unique<RequestContext>();
@@ -111,9 +111,9 @@
   std::vector<std::unique_ptr<FakeEngine>> engines;
 };
 
-void answerNormally(FakeEngine&, Connection& connection, const std::string& word, const std::string& id) {
-  if (word == "NOOP") FakeEngine::sendReply(connection, {id, "alive", "-", ""});
-  if (word == "ASK") FakeEngine::sendReply(connection, {id, "200", "batches=1", "r\to\tw\n"});
+void answerNormally(FakeEngine&, Connection& connection, const std::string& command, const std::string& id) {
+  if (command == "NOOP") FakeEngine::sendReply(connection, {id, "alive", "-", ""});
+  if (command == "ASK") FakeEngine::sendReply(connection, {id, "200", "batches=1", "r\to\tw\n"});
 }
 
 // Accepts one connection and reads nothing until startReading().
@@ -179,13 +179,13 @@
     fixture.drainSockets();
     EXPECT_EQ(engine.receivedCommands, "") << extraSettings;
     EXPECT_EQ(fixture.countOutcomes(AttemptOutcome::neverSent), 1U) << fixture.router.formatCounts();
-    EXPECT_TRUE(fixture.listener.answers.empty());
+    EXPECT_TRUE(fixture.listener.responseKinds.empty());
   }
 }
 
 TEST(EngineConnection, DoesNotWritePendingAttemptWhenEngineHasRestarted) {
-  // An engine that warms up may have less capacity than one request needs: nothing may be sent to the new
-  // process.
+  // An engine that is warming up may have less capacity than one request needs, so nothing may be sent to the
+  // new process.
   for (const bool clientLeaves : {false, true}) {
     EngineConnectionFixture fixture(
         "rules.coldUs=60000000\nrules.startCapacity=0.01\nrules.fallMultiple=1\nrules.fallUs=1000000\n");
@@ -200,7 +200,7 @@
     fixture.drainSockets();
     EXPECT_EQ(engine.receivedCommands, "") << clientLeaves;
     EXPECT_EQ(fixture.countOutcomes(AttemptOutcome::neverSent), 1U) << fixture.router.formatCounts();
-    EXPECT_EQ(fixture.listener.answers, std::vector{RequestContext::ResponseKind::rejected});
+    EXPECT_EQ(fixture.listener.responseKinds, std::vector{RequestContext::ResponseKind::rejected});
   }
 }
 
@@ -214,8 +214,8 @@
     EXPECT_TRUE(fixture.waitUntilIdle());
     fixture.drainSockets();
     EXPECT_EQ(engine.receivedCommands, "");
-    EXPECT_EQ(fixture.listener.answers,
-              std::vector{RequestContext::ResponseKind::rejected});  // It was certainly not executed.
+    EXPECT_EQ(fixture.listener.responseKinds,
+              std::vector{RequestContext::ResponseKind::rejected});  // It was proven not executed.
     const bool isForgotten = fixture.runUntil([&] { return !fixture.router.isReady(); }, 100ms);
     EXPECT_EQ(isForgotten, state == EndpointState::removed);
   }
@@ -235,20 +235,20 @@
   EXPECT_TRUE(fixture.waitUntilIdle());
   fixture.drainSockets();
   EXPECT_EQ(engine.receivedCommands, "");
-  EXPECT_EQ(fixture.listener.answers.size(), 1U);
+  EXPECT_EQ(fixture.listener.responseKinds.size(), 1U);
 }
 
-// The engine closed the first connection without a response, so it must answer a probe before it gets another
+// The engine closes the first connection without a response, so it must answer a probe before it gets another
 // attempt. It withholds that answer until the idempotency window has ended.
 TEST(EngineConnection, DoesNotWritePendingRetryWhenIdempotencyWindowHasEnded) {
   EngineConnectionFixture fixture;
   Connection* pendingConnection = nullptr;
   std::string requestId;
   FakeEngine& engine = fixture.startEngine(
-      1, [&](FakeEngine& self, Connection& connection, const std::string& word, const std::string& id) {
-        if (word == "ASK")
+      1, [&](FakeEngine& self, Connection& connection, const std::string& command, const std::string& id) {
+        if (command == "ASK")
           return self.receivedCommands == "ASK " ? connection.shutDown()
-                                                 : answerNormally(self, connection, word, id);
+                                                 : answerNormally(self, connection, command, id);
         pendingConnection = &connection;
         requestId = id;
       });
@@ -262,8 +262,8 @@
   EXPECT_TRUE(fixture.waitUntilIdle());
   fixture.drainSockets();
   EXPECT_EQ(engine.receivedCommands, "ASK ");
-  ASSERT_EQ(fixture.listener.answers.size(), 1U);
-  EXPECT_NE(fixture.listener.answers[0], RequestContext::ResponseKind::succeeded);
+  ASSERT_EQ(fixture.listener.responseKinds.size(), 1U);
+  EXPECT_NE(fixture.listener.responseKinds[0], RequestContext::ResponseKind::succeeded);
 }
 
 // ---- Attempts that are partly written ------------------------------------------------------------------
@@ -286,7 +286,7 @@
   }
 }
 
-TEST(EngineConnection, DoesNotMovePartialStatementWhenEngineHasRestarted) {
+TEST(EngineConnection, DoesNotReroutePartialStatementWhenEngineHasRestarted) {
   for (const bool restarts : {false, true}) {
     EngineConnectionFixture fixture(
         "rules.coldUs=60000000\nrules.startCapacity=0.01\nrules.fallMultiple=1\nrules.fallUs=1000000\n");
@@ -303,8 +303,9 @@
     fixture.drainSockets();
     EXPECT_EQ(secondEngine.receivedCommands, restarts ? "" : "ASK ")
         << fixture.router.formatCounts() << fixture.logText;
-    EXPECT_EQ(fixture.listener.answers, std::vector{restarts ? RequestContext::ResponseKind::rejected
-                                                             : RequestContext::ResponseKind::succeeded});
+    EXPECT_EQ(fixture.listener.responseKinds,
+              std::vector{restarts ? RequestContext::ResponseKind::rejected
+                                   : RequestContext::ResponseKind::succeeded});
   }
 }
 
@@ -312,9 +313,9 @@
 TEST(EngineConnection, NeverCompletesPartialRetryWhenIdempotencyWindowEnds) {
   EngineConnectionFixture fixture("profiles.1.windowUs=1000000\n");
   FakeEngine& firstEngine = fixture.startEngine(
-      1, [](FakeEngine& self, Connection& connection, const std::string& word, const std::string&) {
-        if (word == "ASK") connection.shutDown();
-        if (word == "ASK") self.closeAddress(0);
+      1, [](FakeEngine& self, Connection& connection, const std::string& command, const std::string&) {
+        if (command == "ASK") connection.shutDown();
+        if (command == "ASK") self.closeAddress(0);
       });
   StalledServer secondEngine(fixture, 3);
   fixture.updateEndpoint({1}, EndpointState::ready, 0, "one");
@@ -330,12 +331,12 @@
   EXPECT_LT(secondEngine.bytesRead, kLargerThanSocketBuffers);
   EXPECT_EQ(firstEngine.receivedCommands, "ASK ");
   EXPECT_TRUE(fixture.waitUntilIdle());
-  ASSERT_EQ(fixture.listener.answers.size(), 1U);
-  EXPECT_NE(fixture.listener.answers[0], RequestContext::ResponseKind::succeeded);
+  ASSERT_EQ(fixture.listener.responseKinds.size(), 1U);
+  EXPECT_NE(fixture.listener.responseKinds[0], RequestContext::ResponseKind::succeeded);
 }
 
-// The output budget of this process refused the attempts, so they were not executed and even a non-idempotent
-// request may be retried.
+// The output budget of this process is exhausted, so the attempts are not executed and even non-idempotent
+// requests may be retried.
 TEST(EngineConnection, ReportsAttemptsUnreachableWhenOutputBudgetRefusesThem) {
   EngineConnectionFixture fixture(kAllowCancellation, 1);  // All attempts wait for the only connection.
   fixture.startEngine(1, answerNormally);
@@ -349,8 +350,8 @@
   fixture.outputBudget.usedBytes -= 2 * fixture.outputBudget.maxBytes - heldBytes;
   EXPECT_TRUE(fixture.waitUntilIdle());
   EXPECT_EQ(fixture.countOutcomes(AttemptOutcome::reset), 0U) << fixture.router.formatCounts();
-  const auto& answers = fixture.listener.answers;
-  EXPECT_EQ(std::count(answers.begin(), answers.end(), RequestContext::ResponseKind::failed), 0);
+  const auto& responseKinds = fixture.listener.responseKinds;
+  EXPECT_EQ(std::count(responseKinds.begin(), responseKinds.end(), RequestContext::ResponseKind::failed), 0);
 }
 
 // ---- Outcomes and responses that race ------------------------------------------------------------------
@@ -362,9 +363,9 @@
     EngineConnectionFixture fixture;
     int attemptCount = 0;
     FakeEngine& engine = fixture.startEngine(
-        1, [&](FakeEngine& self, Connection& connection, const std::string& word, const std::string& id) {
-          attemptCount += word == "ASK" ? 1 : 0;
-          answerNormally(self, connection, word, id);
+        1, [&](FakeEngine& self, Connection& connection, const std::string& command, const std::string& id) {
+          attemptCount += command == "ASK" ? 1 : 0;
+          answerNormally(self, connection, command, id);
         });
     fixture.updateEndpoint({1});
     fixture.submitRequest(kNotIdempotent);
@@ -381,9 +382,10 @@
     ASSERT_TRUE(fixture.runUntil(
         [&] { return fixture.requestCount == 2 && fixture.router.openRequestCount() == 0; }));
     EXPECT_EQ(attemptCount,
-              closesBeforeSend ? 2 : 1);  // Written while it closes: it may have been executed.
-    EXPECT_EQ(fixture.listener.answers.back(), closesBeforeSend ? RequestContext::ResponseKind::succeeded
-                                                                : RequestContext::ResponseKind::failed);
+              closesBeforeSend ? 2 : 1);  // Written while the engine closes: it may have been executed.
+    EXPECT_EQ(fixture.listener.responseKinds.back(), closesBeforeSend
+                                                         ? RequestContext::ResponseKind::succeeded
+                                                         : RequestContext::ResponseKind::failed);
   }
   for (const bool isFullyWritten : {false, true}) {
     EngineConnectionFixture fixture;
@@ -401,31 +403,31 @@
     firstEngine.disconnect();
     EXPECT_TRUE(fixture.waitUntilIdle());
     EXPECT_EQ(secondEngine.receivedCommands, isFullyWritten ? "" : "ASK ") << fixture.router.formatCounts();
-    EXPECT_EQ(fixture.listener.answers,
+    EXPECT_EQ(fixture.listener.responseKinds,
               std::vector{isFullyWritten ? RequestContext::ResponseKind::failed
                                          : RequestContext::ResponseKind::succeeded});
   }
 }
 
 // A second response contradicts the first, which has already proven that the attempt was executed.
-TEST(EngineConnection, IgnoresRefusalWhenAttemptHasAlreadyAnswered) {
-  for (const std::string& word : {std::string("503"), std::string("504")}) {
+TEST(EngineConnection, IgnoresRejectionWhenAttemptHasAlreadyResponded) {
+  for (const std::string& rejectionCode : {std::string("503"), std::string("504")}) {
     EngineConnectionFixture fixture;
     FakeEngine& engine = fixture.startEngine(
         1, [&](FakeEngine&, Connection& connection, const std::string& command, const std::string& id) {
           if (command == "ASK") FakeEngine::sendReply(connection, {id, "200", "batches=2", "one\t\t\n"});
-          if (command == "ASK") FakeEngine::sendReply(connection, {id, word, "-", ""});
+          if (command == "ASK") FakeEngine::sendReply(connection, {id, rejectionCode, "-", ""});
           if (command == "NEXT") FakeEngine::sendReply(connection, {id, "chunk", "batch=1", "two\t\t\n"});
         });
     fixture.updateEndpoint({1});
     fixture.submitRequest(kNotIdempotent);
     EXPECT_TRUE(fixture.waitUntilIdle());
     EXPECT_EQ(engine.receivedCommands, "ASK NEXT 1 ");
-    EXPECT_EQ(fixture.listener.rows, "one\t\t\ntwo\t\t\n");
+    EXPECT_EQ(fixture.listener.receivedRows, "one\t\t\ntwo\t\t\n");
   }
 }
 
-// The response is in this process's kernel, and the loop reads it only after the timeout or after the client
+// The response is in the receiving kernel, and the loop reads it only after the timeout or after the client
 // has gone.
 TEST(EngineConnection, EndsAttemptOnceWhenResponseRacesTimeoutOrClientDeparture) {
   for (const bool clientLeaves : {false, true}) {
@@ -438,16 +440,16 @@
                                             while (fixture.now() <= deadline) continue;
                                           });
     FakeEngine& engine = fixture.startEngine(
-        1, [&](FakeEngine& self, Connection& connection, const std::string& word, const std::string& id) {
-          answerNormally(self, connection, word, id);
-          if (word == "ASK" && self.receivedCommands == "ASK ") raceCallback.runSoon();
+        1, [&](FakeEngine& self, Connection& connection, const std::string& command, const std::string& id) {
+          answerNormally(self, connection, command, id);
+          if (command == "ASK" && self.receivedCommands == "ASK ") raceCallback.runSoon();
         });
     fixture.updateEndpoint({1});
     context = &fixture.submitRequest(kIdempotent, 300ms);
     deadline = fixture.now() + 300ms;
     EXPECT_TRUE(fixture.waitUntilIdle());
     fixture.drainSockets();
-    EXPECT_EQ(fixture.listener.answers.size(), clientLeaves ? 0U : 1U);
+    EXPECT_EQ(fixture.listener.responseKinds.size(), clientLeaves ? 0U : 1U);
     EXPECT_EQ(fixture.countOutcomes(AttemptOutcome::completed) +
                   fixture.countOutcomes(AttemptOutcome::timedOut) +
                   fixture.countOutcomes(AttemptOutcome::cancelled),
@@ -461,14 +463,14 @@
   }
 }
 
-// The first attempt is answered after all when its retry has been written. A request id is used only once on
-// a connection, and the outcome of the first attempt has been reported already.
+// The response to the first attempt arrives after its retry has been written. A request id is used only once
+// on a connection, and the outcome of the first attempt has already been reported.
 TEST(EngineConnection, IgnoresFirstAttemptsResponseWhenRetryHasBeenWritten) {
   EngineConnectionFixture fixture;
   Connection* firstConnection = nullptr;
   FakeEngine& engine = fixture.startEngine(
-      1, [&](FakeEngine&, Connection& connection, const std::string& word, const std::string& id) {
-        if (word != "ASK") return;
+      1, [&](FakeEngine&, Connection& connection, const std::string& command, const std::string& id) {
+        if (command != "ASK") return;
         if (!firstConnection) {
           firstConnection = &connection;
           return FakeEngine::sendReply(connection, {id, "500", "-", ""});
@@ -480,21 +482,22 @@
   fixture.submitRequest(kIdempotent);
   EXPECT_TRUE(fixture.waitUntilIdle());
   fixture.drainSockets();
-  EXPECT_EQ(fixture.listener.rows, "new\t\t\n");
+  EXPECT_EQ(fixture.listener.receivedRows, "new\t\t\n");
   EXPECT_EQ(engine.connections.size(), 2U);
   EXPECT_EQ(fixture.countOutcomes(AttemptOutcome::completed), 1U);
 }
 
-// All attempts share one connection that closes: each outcome triggers retries while others are reported.
+// All attempts share one connection, which closes: each outcome triggers retries while others are being
+// reported.
 TEST(EngineConnection, KeepsToRetryBudgetWhenManyAttemptsEndInOneLoopIteration) {
   EngineConnectionFixture fixture(
       kAllowCancellation + "rules.extraFloor=3\nrules.repeatRatio=0\nrules.budgetSpanUs=10000000\n", 1);
   int attemptCount = 0;
   FakeEngine& engine = fixture.startEngine(
-      1, [&](FakeEngine& self, Connection& connection, const std::string& word, const std::string& id) {
-        if (word != "ASK") return;
+      1, [&](FakeEngine& self, Connection& connection, const std::string& command, const std::string& id) {
+        if (command != "ASK") return;
         if (++attemptCount == 10) connection.shutDown();
-        if (attemptCount > 10) answerNormally(self, connection, word, id);
+        if (attemptCount > 10) answerNormally(self, connection, command, id);
       });
   fixture.updateEndpoint({1});
   for (int index = 0; index < 10; ++index) fixture.submitRequest(kIdempotent);
@@ -502,19 +505,19 @@
   fixture.drainSockets();
   EXPECT_EQ(fixture.countOutcomes(AttemptOutcome::reset), 10U) << fixture.router.formatCounts();
   EXPECT_EQ(attemptCount, 13);
-  EXPECT_EQ(fixture.listener.answers.size(), 10U);
+  EXPECT_EQ(fixture.listener.responseKinds.size(), 10U);
   EXPECT_EQ(engine.receivedCommands.size(), 13U * 4);
 }
 
-// This process is suspended in the middle of a response, for longer than an engine may pause. The rest of the
-// response is in this process's kernel.
+// This process is suspended in the middle of a response for longer than an engine may pause. The rest of the
+// response is already in the receiving kernel.
 TEST(EngineConnection, AcceptsResponseWhenItsRestArrivedDuringProcessStall) {
   EngineConnectionFixture fixture("limits.dialTimeoutUs=400000\n");
   Connection* firstConnection = nullptr;
   std::string remainder;
   fixture.startEngine(
-      1, [&](FakeEngine&, Connection& connection, const std::string& word, const std::string& id) {
-        if (word != "ASK") return;
+      1, [&](FakeEngine&, Connection& connection, const std::string& command, const std::string& id) {
+        if (command != "ASK") return;
         firstConnection = &connection;
         remainder = "\r\n$3\r\n200\r\n$9\r\nbatches=1\r\n$6\r\nr\to\tw\n\r\n";
         connection.send({BufferSlice("*4\r\n$16\r\n" + id)});
@@ -529,20 +532,21 @@
   firstConnection->send({BufferSlice(remainder)});
   stallCallback.runSoon();
   EXPECT_TRUE(fixture.waitUntilIdle());
-  EXPECT_EQ(fixture.listener.answers, std::vector{RequestContext::ResponseKind::succeeded})
+  EXPECT_EQ(fixture.listener.responseKinds, std::vector{RequestContext::ResponseKind::succeeded})
       << fixture.router.formatCounts();
 }
 
-// A partial line on an idle connection belongs to no attempt, and an attempt sent there would be lost with
-// the connection. So the next attempt uses another one, and closing the first affects nothing else.
+// A partial message on an idle connection belongs to no attempt, and an attempt sent there would be lost with
+// the connection. So the next attempt uses another connection, and closing the first one affects nothing
+// else.
 TEST(EngineConnection, CompletesNonIdempotentRequestWhenIdleConnectionHoldsPartialLine) {
   for (const bool drainsBetween : {false, true}) {
     EngineConnectionFixture fixture;
     int attemptCount = 0;
     FakeEngine& engine = fixture.startEngine(
-        1, [&](FakeEngine& self, Connection& connection, const std::string& word, const std::string& id) {
-          attemptCount += word == "ASK" ? 1 : 0;
-          answerNormally(self, connection, word, id);
+        1, [&](FakeEngine& self, Connection& connection, const std::string& command, const std::string& id) {
+          attemptCount += command == "ASK" ? 1 : 0;
+          answerNormally(self, connection, command, id);
           if (attemptCount == 1) connection.send({BufferSlice("*4\r\n$16\r\n" + id)});
         });
     fixture.updateEndpoint({1});
@@ -553,8 +557,8 @@
     if (drainsBetween) fixture.updateEndpoint({1});
     fixture.submitRequest(kNotIdempotent);
     EXPECT_TRUE(fixture.waitUntilIdle());
-    EXPECT_EQ(fixture.listener.answers, (std::vector{RequestContext::ResponseKind::succeeded,
-                                                     RequestContext::ResponseKind::succeeded}));
+    EXPECT_EQ(fixture.listener.responseKinds, (std::vector{RequestContext::ResponseKind::succeeded,
+                                                           RequestContext::ResponseKind::succeeded}));
     EXPECT_EQ(attemptCount, 2);
     EXPECT_EQ(engine.connections.size(), 2U);
   }
@@ -562,8 +566,8 @@
 
 // ---- Rerouted attempts ---------------------------------------------------------------------------------
 
-// The attempt is rerouted to a connect that gets no reply, where it ends in each possible way.
-TEST(EngineConnection, EndsMovedAttemptOnceWhenInterruptedBeforeReconnecting) {
+// The attempt is rerouted to a connect that gets no reply, and is interrupted there in each possible way.
+TEST(EngineConnection, EndsReroutedAttemptOnceWhenInterruptedBeforeReconnecting) {
   for (const std::string interruption : {"left", "time", "gone", "process"}) {
     EngineConnectionFixture fixture("limits.dialTimeoutUs=1200000\n" +
                                     (interruption == "left" ? kAllowCancellation : ""));
@@ -575,7 +579,7 @@
     ASSERT_TRUE(waitUntilWriteStalls(fixture));
     firstEngine.disconnect();
     ASSERT_TRUE(fixture.runUntil(
-        [&] { return fixture.router.formatCounts().ends_with("1 dispatches moved"); }, 500ms))
+        [&] { return fixture.router.formatCounts().ends_with("1 attempts rerouted"); }, 500ms))
         << interruption;
     if (interruption == "left") fixture.router.onClientGone(context);
     if (interruption == "gone") fixture.updateEndpoint({3, 4}, EndpointState::removed);
@@ -583,15 +587,15 @@
     const bool endsLater = interruption == "time" || interruption == "gone";
     EXPECT_TRUE(fixture.waitUntilIdle(endsLater ? 5000ms : 100ms))
         << interruption << fixture.router.formatCounts();
-    EXPECT_EQ(fixture.listener.answers.size(), interruption == "left" ? 0U : 1U) << interruption;
+    EXPECT_EQ(fixture.listener.responseKinds.size(), interruption == "left" ? 0U : 1U) << interruption;
     std::uint64_t outcomeCount = 0;
     for (const std::uint64_t attemptOutcome : fixture.router.totals().attemptOutcomes)
       outcomeCount += attemptOutcome;
     EXPECT_EQ(outcomeCount, 1U) << interruption << fixture.router.formatCounts();
-    // The connection ends with its connect, and then the engine is forgotten.
+    // The connection closes when its connect ends, and then the engine is forgotten.
     fixture.updateEndpoint({3, 4}, EndpointState::removed);
     EXPECT_TRUE(fixture.runUntil(
-        [&] { return fixture.router.formatCounts().find("; 0 executors") != std::string::npos; }, 5s))
+        [&] { return fixture.router.formatCounts().find("; 0 engines") != std::string::npos; }, 5s))
         << interruption << fixture.router.formatCounts();
   }
 }
@@ -608,10 +612,10 @@
           {BufferSlice(sendsSlowly ? std::string("x") : std::string(5990, 'x') + "\r\n$5990\r\n")});
       sendTimer.runAt(fixture.now() + 2ms);
     });
-    fixture.startEngine(1, [&](FakeEngine& self, Connection& connection, const std::string& word,
+    fixture.startEngine(1, [&](FakeEngine& self, Connection& connection, const std::string& command,
                                const std::string& id) {
-      if (word != "ASK") return;
-      if (firstConnection) return answerNormally(self, connection, word, id);
+      if (command != "ASK") return;
+      if (firstConnection) return answerNormally(self, connection, command, id);
       firstConnection = &connection;
       connection.send({BufferSlice("*8\r\n$16\r\n" + id + "\r\n$3\r\n200\r\n$9\r\nbatches=1\r\n$5990\r\n")});
       sendTimer.runAt(fixture.now());
@@ -628,7 +632,7 @@
         << fixture.router.formatCounts();
     sendTimer.cancel();
     EXPECT_TRUE(fixture.waitUntilIdle());
-    EXPECT_EQ(fixture.listener.rows, "r\to\tw\n");
+    EXPECT_EQ(fixture.listener.receivedRows, "r\to\tw\n");
   }
 }
 
--- a/tests/routing/request_router_test.cpp
+++ b/tests/routing/request_router_test.cpp
@@ -1,4 +1,4 @@
-// The controller between scripted clients, engines and endpoint lists, valid and misbehaving ones.
+// The controller with scripted clients, engines and endpoint lists, both valid and misbehaving.
 #include "support/router_fixture.hpp"
 
 namespace paddletrack::routing {
@@ -14,8 +14,8 @@
   struct : ServiceGate {
     bool onHeartbeat() override { return false; }
     std::optional<Duration> checkRejection() override { return 700ms; }
-  } shut;
-  fixture.clientListener.setServiceGate(&shut);
+  } closedGate;
+  fixture.clientListener.setServiceGate(&closedGate);
   const std::string closedAnswer =
       fixture.exchangeBytes(encodeMessage(1, "heartbeat", 2, encodeInteger(0, 1)));
   ASSERT_EQ(openAnswer.size(), closedAnswer.size());
@@ -30,9 +30,9 @@
 TEST(RequestRouter, SendsPagesInOrderWhenTheyArriveOutOfOrder) {
   RouterFixture fixture;
   FakeEngine& engine = fixture.addEngine(
-      1, [](FakeEngine&, Connection& connection, const std::string& word, const std::string& id) {
-        if (word == "ASK") FakeEngine::sendReply(connection, {id, "200", "batches=3", "one\t\t\n"});
-        if (word != "NEXT") return;
+      1, [](FakeEngine&, Connection& connection, const std::string& command, const std::string& id) {
+        if (command == "ASK") FakeEngine::sendReply(connection, {id, "200", "batches=3", "one\t\t\n"});
+        if (command != "NEXT") return;
         static int requestedPages = 0;
         if (++requestedPages < 2) return;
         FakeEngine::sendReply(connection, {id, "chunk", "batch=2", "three\t\t\n"});
@@ -44,15 +44,15 @@
   EXPECT_EQ(engine.receivedCommands, "ASK NEXT 1 NEXT 2 ");
 }
 
-// If the engine has lost a page the attempt has failed, and an idempotent request is retried.
+// If the engine has lost a page, the attempt fails and an idempotent request is retried.
 TEST(RequestRouter, RetriesRequestWhenPageIsLost) {
   RouterFixture fixture;
   int attemptCount = 0;
   FakeEngine& engine = fixture.addEngine(
-      1, [&](FakeEngine&, Connection& connection, const std::string& word, const std::string& id) {
-        if (word == "ASK" && ++attemptCount == 1)
+      1, [&](FakeEngine&, Connection& connection, const std::string& command, const std::string& id) {
+        if (command == "ASK" && ++attemptCount == 1)
           return FakeEngine::sendReply(connection, {id, "200", "batches=2", "old\t\t\n"});
-        if (word == "ASK") return FakeEngine::sendReply(connection, {id, "200", "batches=1", "new\t\t\n"});
+        if (command == "ASK") return FakeEngine::sendReply(connection, {id, "200", "batches=1", "new\t\t\n"});
         FakeEngine::sendReply(connection, {id, "500", "-", ""});
       });
   fixture.updateEndpoints({1});
@@ -66,9 +66,9 @@
   RouterFixture fixture;
   int attemptCount = 0;
   fixture.addEngine(
-      2, [&](FakeEngine& engine, Connection& connection, const std::string& word, const std::string& id) {
-        if (word == "ASK" && ++attemptCount == 1) return connection.shutDown();
-        respondDone(engine, connection, word, id);
+      2, [&](FakeEngine& engine, Connection& connection, const std::string& command, const std::string& id) {
+        if (command == "ASK" && ++attemptCount == 1) return connection.shutDown();
+        respondDone(engine, connection, command, id);
       });
   fixture.updateEndpoints({1, 2});  // nothing listens at the first
   for (int index = 1; index <= 4; ++index)
@@ -79,10 +79,10 @@
 
 TEST(RequestRouter, UsesAnotherEngineWhenEngineIsFull) {
   RouterFixture fixture;
-  fixture.addEngine(1,
-                    [](FakeEngine&, Connection& connection, const std::string& word, const std::string& id) {
-                      if (word == "ASK") FakeEngine::sendReply(connection, {id, "503", "-", ""});
-                    });
+  fixture.addEngine(
+      1, [](FakeEngine&, Connection& connection, const std::string& command, const std::string& id) {
+        if (command == "ASK") FakeEngine::sendReply(connection, {id, "503", "-", ""});
+      });
   fixture.addEngine(2, respondDone);
   fixture.updateEndpoints({1, 2});
   for (int index = 1; index <= 4; ++index)
@@ -99,8 +99,8 @@
   EXPECT_EQ(fixture.router.openRequestCount(), 0U);
 }
 
-// Regression: on a busy core requests are read and responses written some tens of milliseconds late, and a
-// few clients in ten thousand got their final response after the deadline.
+// Regression: on a busy core requests are read and responses written some tens of milliseconds late, so a few
+// clients in ten thousand got their final response after the deadline.
 TEST(RequestRouter, RejectsRequestBeforeClientTimeoutWhenAnswerSlackIsSet) {
   RouterFixture fixture(kBaseSettings + "rules.answerSlackUs=20000\n");
   fixture.addEngine(1, ignoreCommand);
@@ -126,15 +126,15 @@
   EXPECT_EQ(fixture.router.openRequestCount(), 0U);
 }
 
-// Without the key engines could not tell a request's second attempt from another request.
+// Without the key, engines could not distinguish a second attempt from a different request.
 TEST(RequestRouter, ForwardsIdempotencyKeyWithEachAttemptAndRejectsInvalidKeys) {
   RouterFixture fixture;
   std::string received;
   FakeEngine& engine = fixture.addEngine(
-      1, [&](FakeEngine& self, Connection& connection, const std::string& word, const std::string& id) {
+      1, [&](FakeEngine& self, Connection& connection, const std::string& command, const std::string& id) {
         received += connection.input().view();
         if (self.receivedCommands == "ASK ") return connection.shutDown();
-        respondDone(self, connection, word, id);
+        respondDone(self, connection, command, id);
       });
   fixture.updateEndpoints({1});
   const auto submitWithKey = [](int sequence, const std::string& key) {
@@ -200,9 +200,9 @@
   EXPECT_EQ(received, "<closed>");
   fixture.client.reset();
   EXPECT_TRUE(fixture.contains(fixture.exchangeBytes(encodeSubmit(2)), "r\to\tw\n"));
-  EXPECT_EQ(fixture.exchangeBytes("", 500ms), "");  // kept for as long as clients keep their connections
+  EXPECT_EQ(fixture.exchangeBytes("", 500ms), "");  // kept open for as long as clients keep their connections
   EXPECT_EQ(fixture.exchangeBytes("", 300ms), "<closed>");
-  EXPECT_TRUE(fixture.contains(fixture.clientListener.formatCounts(), "unfinished 2, idle 1"));
+  EXPECT_TRUE(fixture.contains(fixture.clientListener.formatCounts(), "incomplete 2, idle 1"));
 }
 
 TEST(ClientListener, EvictsSilentConnectionsFirstWhenFull) {
@@ -214,11 +214,11 @@
   for (int index = 0; index < 12; ++index) silentConnections.push_back(fixture.connectClient());
   EXPECT_TRUE(fixture.contains(fixture.exchangeBytes(encodeSubmit(2)),
                                "r\to\tw\n"));  // it connected first, but has sent a request
-  EXPECT_TRUE(fixture.contains(fixture.clientListener.formatCounts(), "for others 4"));
+  EXPECT_TRUE(fixture.contains(fixture.clientListener.formatCounts(), "evicted 4"));
 }
 
-// Regression: connections that had sent one request and stayed open used up the limit. Each new one was
-// evicted as the least active one before it could send a request.
+// Regression: connections that had sent one request and stayed open used up the limit, and each new one was
+// evicted as the least active before it could send a request.
 TEST(ClientListener, ServesNewConnectionWhenFullOfIdleOnes) {
   RouterFixture fixture;
   fixture.addEngine(1, respondDone);
@@ -229,7 +229,7 @@
   }
 }
 
-// Engines reject a second statement under the same id, whichever connection it comes over.
+// Engines reject a second statement with the same id, no matter on which connection it arrives.
 TEST(ClientListener, RejectsRequestWhenReferenceIsInUse) {
   RouterFixture fixture;
   FakeEngine& engine = fixture.addEngine(1, ignoreCommand);
@@ -241,54 +241,55 @@
   std::string submits;
   for (int index = 1; index <= 9; ++index) submits += encodeSubmit(index * 10 + 1);
   EXPECT_TRUE(fixture.contains(fixture.exchangeBytes(submits, 20ms),
-                               "<closed>"));  // the same request again and again
+                               "<closed>"));  // too many invalid requests in a row
 }
 
 TEST(EngineConnectionPool, ClosesConnectionAndRetriesWhenResponseIsUnreadable) {
   RouterFixture fixture;
   int attemptCount = 0;
   fixture.addEngine(
-      1, [&](FakeEngine& engine, Connection& connection, const std::string& word, const std::string& id) {
-        if (word == "ASK" && ++attemptCount == 1)
+      1, [&](FakeEngine& engine, Connection& connection, const std::string& command, const std::string& id) {
+        if (command == "ASK" && ++attemptCount == 1)
           return connection.send({BufferSlice(std::string("HTTP/1.1 200 OK\r\n\r\n"))});
-        respondDone(engine, connection, word, id);
+        respondDone(engine, connection, command, id);
       });
   fixture.updateEndpoints({1});
   EXPECT_TRUE(fixture.contains(fixture.exchangeBytes(encodeSubmit(1), 150ms), "r\to\tw\n"));
-  EXPECT_TRUE(fixture.contains(fixture.logText, "connection given up"));
+  EXPECT_TRUE(fixture.contains(fixture.logText, "engine connection closed"));
 }
 
-// Regression: a progress message, which the protocol does not describe, closed its connection.
-TEST(EngineConnectionPool, IgnoresMessagesWithoutPage) {
+// Regression: a progress message, which the protocol does not specify, closed its connection.
+TEST(EngineConnectionPool, IgnoresMessagesOfUnknownType) {
   RouterFixture fixture;
   fixture.addEngine(
-      1, [&](FakeEngine& self, Connection& connection, const std::string& word, const std::string& id) {
+      1, [&](FakeEngine& self, Connection& connection, const std::string& command, const std::string& id) {
         FakeEngine::sendReply(connection, {id, "status", "odd", ""});
-        respondDone(self, connection, word, id);
+        respondDone(self, connection, command, id);
       });
   fixture.updateEndpoints({1});
   EXPECT_TRUE(fixture.contains(fixture.exchangeBytes(encodeSubmit(1)), "r\to\tw\n"));
   EXPECT_TRUE(fixture.contains(fixture.router.formatCounts(), "1 done; "));
 }
 
-// After one invalid or incomplete response its connection cannot be used any more. That says nothing against
-// the engine, and attempts on its other connections go on.
+// After an invalid or incomplete response its connection is no longer usable. The engine itself is not
+// considered faulty, and attempts on its other connections continue.
 TEST(EngineConnectionPool, RetriesAttemptWhenResponseIsMalformed) {
-  using Words = std::vector<std::string>;
-  for (const Words& bad :
-       {Words{"200", "batches=many", ""}, Words{"2\x01\x7f", "-", ""}, Words{"200", "batches=0", ""},
-        Words{"200", "-", "a\tb\n"}, Words{"200", "-", "a\tb\tc"}, Words{"200", "batches=65", "\t\t\n"},
-        Words{"200", "-", std::string(6001, 'x')}, Words{"chunk", "-", ""}, Words{}}) {
+  using ReplyFields = std::vector<std::string>;
+  for (const ReplyFields& malformedReply :
+       {ReplyFields{"200", "batches=many", ""}, ReplyFields{"2\x01\x7f", "-", ""},
+        ReplyFields{"200", "batches=0", ""}, ReplyFields{"200", "-", "a\tb\n"},
+        ReplyFields{"200", "-", "a\tb\tc"}, ReplyFields{"200", "batches=65", "\t\t\n"},
+        ReplyFields{"200", "-", std::string(6001, 'x')}, ReplyFields{"chunk", "-", ""}, ReplyFields{}}) {
     RouterFixture fixture;
     int attemptCount = 0;
     fixture.addEngine(
-        1, [&](FakeEngine& self, Connection& connection, const std::string& word, const std::string& id) {
-          if (word != "ASK") return;
+        1, [&](FakeEngine& self, Connection& connection, const std::string& command, const std::string& id) {
+          if (command != "ASK") return;
           if (++attemptCount == 1) return;  // still runs while the next response is invalid
-          if (attemptCount > 2) return respondDone(self, connection, word, id);
-          if (bad.empty())
-            return connection.send({BufferSlice("*4\r\n$16\r\n" + id)});  // and nothing after it
-          FakeEngine::sendReply(connection, {id, bad[0], bad[1], bad[2]});
+          if (attemptCount > 2) return respondDone(self, connection, command, id);
+          if (malformedReply.empty())
+            return connection.send({BufferSlice("*4\r\n$16\r\n" + id)});  // and no more bytes
+          FakeEngine::sendReply(connection, {id, malformedReply[0], malformedReply[1], malformedReply[2]});
         });
     fixture.updateEndpoints({1});
     EXPECT_TRUE(
@@ -300,16 +301,16 @@
   }
 }
 
-// Bytes after a response do no harm: the first complete response counts.
+// Input after a complete response is harmless: the first complete response counts.
 TEST(EngineConnectionPool, IgnoresDuplicateAndUnrequestedResponses) {
   RouterFixture fixture;
   fixture.addEngine(
-      1, [](FakeEngine&, Connection& connection, const std::string& word, const std::string& id) {
-        if (word == "ASK") {
+      1, [](FakeEngine&, Connection& connection, const std::string& command, const std::string& id) {
+        if (command == "ASK") {
           FakeEngine::sendReply(connection, {"00000000deadbeef", "200", "batches=1", "x\tx\tx\n"});
           FakeEngine::sendReply(connection, {id, "200", "batches=2", "one\t\t\n"});
           FakeEngine::sendReply(connection, {id, "200", "batches=2", "one\t\t\n"});
-        } else if (word == "NEXT") {
+        } else if (command == "NEXT") {
           FakeEngine::sendReply(connection, {id, "chunk", "batch=1", "two\t\t\n"});
           FakeEngine::sendReply(connection, {id, "chunk", "batch=1", "two\t\t\n"});
         }
@@ -319,13 +320,14 @@
   EXPECT_TRUE(fixture.contains(fixture.router.formatCounts(), "1 done; ")) << fixture.router.formatCounts();
 }
 
-// A second response may come when its request has long been finished and the connection serves another.
+// A second response may arrive long after its request has finished, when the connection serves another
+// request.
 TEST(EngineConnectionPool, KeepsOtherRequestsIntactWhenDuplicateResponseIsLate) {
   RouterFixture fixture;
   std::string previousId;
   FakeEngine& engine = fixture.addEngine(
-      1, [&](FakeEngine&, Connection& connection, const std::string& word, const std::string& id) {
-        if (word != "ASK") return;
+      1, [&](FakeEngine&, Connection& connection, const std::string& command, const std::string& id) {
+        if (command != "ASK") return;
         if (!previousId.empty()) {
           FakeEngine::sendReply(connection, {previousId, "200", "batches=2", "late\t\t\n"});
           FakeEngine::sendReply(connection, {previousId, "chunk", "batch=1", "later\t\t\n"});
@@ -339,15 +341,15 @@
     const std::string answer = fixture.exchangeBytes(encodeSubmit(index), 40ms);
     EXPECT_TRUE(fixture.contains(answer, "00000000000000a" + std::to_string(index) + "\t\t\n"));
     EXPECT_FALSE(fixture.contains(answer, "late"));
-    EXPECT_EQ(fixture.exchangeBytes("", 20ms), "");  // and no second response is written
+    EXPECT_EQ(fixture.exchangeBytes("", 20ms), "");  // no second response is written
   }
   EXPECT_EQ(engine.connections.size(), 1U);
   EXPECT_EQ(engine.receivedCommands, "ASK ASK ASK ");
   EXPECT_TRUE(fixture.contains(fixture.router.formatCounts(), "3 done; ")) << fixture.router.formatCounts();
 }
 
-// Regression: engines that came under ever new ids were never forgotten by the router and the admission
-// controller.
+// Regression: the router and the admission controller never removed engines, so engines that kept appearing
+// with new ids accumulated.
 TEST(EngineRegistry, ForgetsRemovedEngineWhenNoAttemptIsInFlight) {
   RouterFixture fixture;
   fixture.addEngine(1, respondDone);
@@ -360,26 +362,26 @@
   fixture.updateEndpoints({1}, false, EndpointState::removed);
   fixture.updateEndpoints({2}, false, EndpointState::removed);
   fixture.runFor(100ms);
-  EXPECT_TRUE(fixture.contains(fixture.router.formatCounts(), "1 executors known of 2"));
+  EXPECT_TRUE(fixture.contains(fixture.router.formatCounts(), "1 engines known of 2"));
   fixture.runFor(600ms);
-  EXPECT_TRUE(fixture.contains(fixture.router.formatCounts(), "0 executors known of 2"));
-  fixture.updateEndpoints({1});  // it comes back as a new engine
+  EXPECT_TRUE(fixture.contains(fixture.router.formatCounts(), "0 engines known of 2"));
+  fixture.updateEndpoints({1});  // it is added again as a new engine
   EXPECT_TRUE(fixture.contains(fixture.exchangeBytes(encodeSubmit(7)), "r\to\tw\n"));
   fixture.updateEndpoints({2});  // a snapshot without it
   fixture.runFor(100ms);
-  EXPECT_TRUE(fixture.contains(fixture.router.formatCounts(), "1 executors known of 4"));
+  EXPECT_TRUE(fixture.contains(fixture.router.formatCounts(), "1 engines known of 4"));
 }
 
-// A machine that failed and came back does not respond on its old connections; a slow one does not respond at
-// all.
+// An engine on a machine that failed and recovered does not respond on its old connections; a slow one does
+// not respond on any.
 TEST(EngineConnectionPool, ClosesSilentConnectionOnlyWhenEngineAnswersOnAnother) {
   RouterFixture fixture;
   bool answersOnNewConnections = false;
   FakeEngine& engine = fixture.addEngine(
-      1, [&](FakeEngine& self, Connection& connection, const std::string& word, const std::string& id) {
+      1, [&](FakeEngine& self, Connection& connection, const std::string& command, const std::string& id) {
         if (!answersOnNewConnections || &connection == self.connections.front()) return;
-        if (word == "NOOP") FakeEngine::sendReply(connection, {id, "alive", "-", ""});
-        respondDone(self, connection, word, id);
+        if (command == "NOOP") FakeEngine::sendReply(connection, {id, "alive", "-", ""});
+        respondDone(self, connection, command, id);
       });
   fixture.updateEndpoints({1});
   fixture.exchangeBytes(encodeSubmit(1), 250ms);
@@ -387,11 +389,11 @@
   EXPECT_FALSE(fixture.contains(fixture.router.formatCounts(), "reset"));
   answersOnNewConnections = true;
   fixture.exchangeBytes(encodeSubmit(2), 600ms);
-  EXPECT_TRUE(fixture.contains(fixture.router.formatCounts(), "1 spoilt"));
+  EXPECT_TRUE(fixture.contains(fixture.router.formatCounts(), "1 faulted"));
 }
 
 // Regression: the kernel accepts bytes that a stopped process does not read. Thousands of statements were
-// queued there and were read after their requests had been finished otherwise.
+// queued there and were read after their requests had been finished in another way.
 TEST(EngineConnectionPool, WritesNothingMoreWhenEngineAnswersNowhere) {
   RouterFixture fixture;
   FakeEngine& engine = fixture.addEngine(1, ignoreCommand);
@@ -442,22 +444,22 @@
 
 TEST(EndpointWatcher, ResumesAfterFaultAndReadsSnapshotWhenFaultRecurs) {
   RouterFixture fixture;
-  const std::string server =
+  const std::string entryPrefix =
       R"("id":"s-1","addr":"127.0.77.1:18443","zone":"a","kind":"m","cell":0,"started_ms":0,"state":)";
   const auto event = [&](int seq, const char* state) {
     return "{\"seq\":" + std::to_string(seq) + ",\"fleet\":{\"version\":1,\"full\":false,\"servers\":[{" +
-           server + "\"" + state + "\"}]}}\n";
+           entryPrefix + "\"" + state + "\"}]}}\n";
   };
   std::vector<std::string> requestLines;
   transport::Listener listener(fixture, Address("127.0.77.100:18443"));
   const auto serveList = [&]() -> Task<> {
-    for (const std::string& script : {event(4, "active") + event(4, "left") + "4\n", event(6, "active"),
-                                      event(5, "active") + "nonsense\n", std::string("5\n")}) {
+    for (const std::string& lines : {event(4, "active") + event(4, "left") + "4\n", event(6, "active"),
+                                     event(5, "active") + "nonsense\n", std::string("5\n")}) {
       auto accepted = co_await listener.accept();
       Connection connection(fixture, std::move(accepted), 4096, 65536, fixture.outputBudget);
       const bool hasRequest = co_await connection.receive();
       if (hasRequest) requestLines.emplace_back(connection.input().view());
-      connection.send({BufferSlice(script)});
+      connection.send({BufferSlice(lines)});
       co_await fixture.sleepUntil(fixture.now() + 20ms);
     }
   };
@@ -470,11 +472,11 @@
                                "r\to\tw\n"));  // the repeated event 4 did not remove the engine
   fixture.runFor(800ms);
   EXPECT_EQ(requestLines, (std::vector<std::string>{"since 3\n", "since 4\n", "since 4\n", "since 0\n"}));
-  EXPECT_TRUE(fixture.contains(fixture.logText, "nothing of 5 before 6"));
+  EXPECT_TRUE(fixture.contains(fixture.logText, "expected event 5, found event 6"));
   EXPECT_TRUE(fixture.contains(fixture.logText, "nonsense"));
 }
 
-// Regression: a list that sent bytes but no complete line counted as one that is alive.
+// Regression: an endpoint list connection that sent bytes but no complete line counted as alive.
 TEST(EndpointWatcher, ReconnectsWhenListSendsBytesButNoLine) {
   RouterFixture fixture;
   int connectCount = 0;
@@ -497,7 +499,7 @@
   EXPECT_EQ(connectCount, 2);
 }
 
-// Regression: an operator's file that named an unreachable list ended the watch of the current list.
+// Regression: an operator's file with the address of an unreachable list ended the watch of the current list.
 TEST(EndpointWatcher, KeepsCurrentListWhenNewListIsUnreachable) {
   RouterFixture fixture;
   fixture.addEngine(1, respondDone);
@@ -508,7 +510,7 @@
            state + "\"}]}}\n";
   };
   bool firstClosed = false;
-  std::string secondAsked;
+  std::string secondRequestLine;
   transport::Listener firstListener(fixture, Address("127.0.77.100:18443"));
   std::optional<transport::Listener> secondListener;
   const auto serveFirstList = [&]() -> Task<> {
@@ -524,7 +526,7 @@
     auto accepted = co_await secondListener->accept();
     Connection connection(fixture, std::move(accepted), 4096, 65536, fixture.outputBudget);
     const bool hasRequest = co_await connection.receive();
-    if (hasRequest) secondAsked = connection.input().view();
+    if (hasRequest) secondRequestLine = connection.input().view();
     connection.send({BufferSlice(event(5, "left"))});
     co_await fixture.sleepUntil(fixture.now() + 5s);
   };
@@ -540,7 +542,7 @@
   secondListener.emplace(fixture, Address("127.0.77.101:18443"));
   fixture.group.spawn(serveSecondList());
   fixture.runFor(1s);
-  EXPECT_EQ(secondAsked, "since 4\n");
+  EXPECT_EQ(secondRequestLine, "since 4\n");
   EXPECT_TRUE(firstClosed);
   EXPECT_FALSE(fixture.contains(fixture.exchangeBytes(encodeSubmit(2, 100), 200ms),
                                 "r\to\tw\n"));  // event 5 was applied
--- a/tests/support/router_fixture.hpp
+++ b/tests/support/router_fixture.hpp
@@ -28,10 +28,10 @@
   return encoded;
 }
 inline std::string encodeString(const std::string& value) { return encodeInteger(value.size(), 4) + value; }
-inline std::string encodeMessage(int kind, const std::string& method, int sequence,
+inline std::string encodeMessage(int messageType, const std::string& method, int sequence,
                                  const std::string& arguments) {
-  return protocol::thrift::encodeMessage(method, static_cast<protocol::thrift::MessageType>(kind), sequence,
-                                         arguments);
+  return protocol::thrift::encodeMessage(method, static_cast<protocol::thrift::MessageType>(messageType),
+                                         sequence, arguments);
 }
 
 inline std::string encodeSubmit(int sequence, int timeoutMs = 2000, const std::string& requestClass = "q",
@@ -91,7 +91,7 @@
     for (const transport::TimePoint deadline = now() + 2s; !connection && now() < deadline;) runFor(5ms);
     return connection;
   }
-  // Sends bytes as a client and returns what comes back within the duration.
+  // Sends bytes as a client and returns the bytes received within the duration.
   std::string exchangeBytes(const std::string& request, std::chrono::milliseconds duration = 60ms) {
     if (!client) {
       client = connectClient();
@@ -119,7 +119,7 @@
     return text.find(part) != std::string::npos;
   }
 
-  const int subnet;                  // of 127.0.NET.0/24, so that tests that run in parallel do not meet
+  const int subnet;  // of 127.0.NET.0/24, so that tests that run in parallel do not use the same addresses
   const std::size_t maxConnections;  // of clients
   const std::string listenAddress = engineAddress(200);
   std::string logText;
