--- a/src/routing/client_listener.cpp
+++ b/src/routing/client_listener.cpp
@@ -62,7 +62,7 @@
     try {
       co_await session.run();
     } catch (const protocol::ParseError& error) {
-      ++environment_.counts.unreadable;
+      ++environment_.counts.protocolErrors;
       environment_.logger.warning("client",
                                   Error(ErrorKind::clientProtocolError, error.context(), error.message()), {},
                                   "connection closed: ");
@@ -128,8 +128,8 @@
 std::string ClientListener::formatCounts() const {
   const ClientCounts& counts = environment_.counts;
   return "clients: " + std::to_string(connectionCount()) + " connected, accepted " +
-         std::to_string(counts.accepted) + ", invalid requests " + std::to_string(counts.rejectedRequests) +
-         ", closed for protocol errors " + std::to_string(counts.unreadable) + ", incomplete " +
+         std::to_string(counts.accepted) + ", invalid requests " + std::to_string(counts.invalidRequests) +
+         ", closed for protocol errors " + std::to_string(counts.protocolErrors) + ", incomplete " +
          std::to_string(counts.incomplete) + ", idle " + std::to_string(counts.idle) + ", evicted " +
          std::to_string(counts.evicted);
 }
--- a/src/routing/client_session.cpp
+++ b/src/routing/client_session.cpp
@@ -344,7 +344,7 @@
 }
 
 void ClientSession::reportInvalidMessage(const thrift::Message& message, const protocol::ParseError& error) {
-  ++environment_.counts.rejectedRequests;
+  ++environment_.counts.invalidRequests;
   environment_.logger.warning(
       "request", Error(ErrorKind::invalidRequest, error.context(), error.message()),
       {{"job", std::string(currentRequestId_.substr(0, kMaxLoggedNameBytes))},
--- a/src/routing/client_session.hpp
+++ b/src/routing/client_session.hpp
@@ -40,8 +40,8 @@
 /// Counts of accepted connections, invalid requests and closed sessions by reason, for the log.
 struct ClientCounts {
   std::uint64_t accepted = 0;
-  std::uint64_t rejectedRequests = 0;
-  std::uint64_t unreadable = 0;
+  std::uint64_t invalidRequests = 0;
+  std::uint64_t protocolErrors = 0;
   std::uint64_t incomplete = 0;
   std::uint64_t idle = 0;
   std::uint64_t evicted = 0;
