--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -261,8 +261,8 @@
     std::ofstream(run.fleet->operatorConfigPath(0))
         << "door { socket = \"" << run.fleet->adminSocketPath(0) << "\" }\ndrain { deadline = \"1s\" }";
     run.fleet->controller(0).sendSignal(SIGHUP);
-    EXPECT_TRUE(run.runUntil(
-        [&] { return run.readLog().find("operator's file is read again") != std::string::npos; }));
+    EXPECT_TRUE(
+        run.runUntil([&] { return run.readLog().find("operator's file reloaded") != std::string::npos; }));
   }
   {  // the endpoint list moves to another address
     const std::string configPath = run.fleet->directory() + "/config0.json";
@@ -275,7 +275,7 @@
   secondEndpointList.publish({}, false);  // no records beyond those already known
   run.fleet->controller(0).sendSignal(SIGHUP);
   EXPECT_TRUE(
-      run.runUntil([&] { return run.readLog().find("the change log has moved") != std::string::npos; }));
+      run.runUntil([&] { return run.readLog().find("endpoint list address changed") != std::string::npos; }));
   run.fleet->engine(0).disconnect();  // an engine disconnects, one leaves, then all leave
   secondEndpointList.publish({{"s-2", "127.0.95.2:18443", "left"}});
   run.runFor(200ms);
@@ -351,7 +351,7 @@
   const CommandRun drained(
       run, {"drain", "--deadline", "5s", "--watch", "--operator", run.fleet->operatorConfigPath(0)});
   EXPECT_EQ(drained.exitCode, 0) << drained.output;
-  EXPECT_TRUE(drained.hasOutput("expected end (estimate)") && drained.hasOutput("1 done, 0 throttled"))
+  EXPECT_TRUE(drained.hasOutput("estimated completion") && drained.hasOutput("1 done, 0 rejected"))
       << drained.output;
   const CommandRun cancelled(run, {"drain", "--cancel", "-s", adminSocket});
   EXPECT_EQ(cancelled.exitCode, 0);
@@ -412,7 +412,7 @@
   for (std::size_t index = 0; index < 3; ++index) rollArguments.push_back(run.fleet->adminSocketPath(index));
   const CommandRun completedRoll(run, rollArguments);
   EXPECT_EQ(completedRoll.exitCode, 0) << completedRoll.output;
-  EXPECT_TRUE(completedRoll.hasOutput("all 3 have been out and serve again"));
+  EXPECT_TRUE(completedRoll.hasOutput("all 3 controllers drained and serving again"));
   EXPECT_EQ(maxOutOfService, 1U);
   run.loadGenerator->send(1, 1);
   rollArguments[2] = "600ms";
@@ -480,7 +480,7 @@
   run.sendAdminRequest({{"do", "drain"}, {"deadline_ms", 0}});
   const CommandRun rejected = runClient("look-up", "");
   EXPECT_EQ(rejected.exitCode, 3);
-  EXPECT_TRUE(rejected.hasOutput("come back in 2000 ms")) << rejected.output;
+  EXPECT_TRUE(rejected.hasOutput("retry after 2000 ms")) << rejected.output;
 }
 
 TEST(Demo, ExitsCleanlyWhenInterrupted) {
