--- a/src/base/big_endian.hpp
+++ b/src/base/big_endian.hpp
@@ -6,7 +6,8 @@
 
 namespace paddletrack {
 
-/// Decodes an unsigned integer in network byte order. Only the last eight bytes of longer input count.
+/// Decodes an unsigned integer in network byte order. If the input is longer than eight bytes, only its last
+/// eight are used.
 inline std::uint64_t readBigEndian(std::string_view bytes) {
   std::uint64_t value = 0;
   for (const char byte : bytes) value = (value << 8) | static_cast<std::uint8_t>(byte);
--- a/src/base/error.hpp
+++ b/src/base/error.hpp
@@ -1,5 +1,6 @@
-/// The errors that operators may see. Each has a kind, says what happened and where, and gives a hint on what
-/// to do. docs/operating/errors.md has a row for each kind; tests/program/error_test.cpp compares the two.
+/// The errors that are reported to operators. Each has a kind, states what happened and where, and gives a
+/// hint on what to do. docs/operating/errors.md has a row for each kind; tests/program/error_test.cpp
+/// compares the two.
 #pragma once
 
 #include <array>
@@ -17,12 +18,12 @@
 /// A new kind is added at the end of its group, with a row in `kErrorDescriptions` and in
 /// docs/operating/errors.md.
 enum class ErrorKind : std::uint8_t {
-  // Files and messages that people write.
+  // Configuration files and admin requests, which people write.
   invalidConfiguration,
   invalidOperatorFile,
   unreadableFile,
   invalidAdminRequest,
-  // Resources of the machine.
+  // System resources.
   systemCallFailed,
   listenFailed,
   adminSocketFailed,
@@ -44,75 +45,82 @@
   permissionDenied,
   adminUnreachable,
   adminRequestRefused,
-  // Everything else.
+  // Errors of no other kind.
   unexpected,
   count
 };
 
-/// What is the same for all errors of a kind.
+/// The properties that all errors of a kind share.
 struct ErrorDescription {
   ErrorKind kind;
-  /// The kind as logs, JSON output and the documentation write it.
+  /// The name of the kind in logs, JSON output and the documentation.
   const char* name;
-  /// The exit code of a process that ends with the error; docs/operating/drain.md lists all exit codes.
+  /// The exit code of a process that this error ends; docs/operating/drain.md lists all exit codes.
   int exitCode;
-  /// What an operator can do, unless the error itself has a more specific hint.
+  /// What an operator can do. An error may carry a more specific hint, which takes precedence.
   const char* hint;
 };
 
 constexpr std::array<ErrorDescription, static_cast<std::size_t>(ErrorKind::count)> kErrorDescriptions{{
     {ErrorKind::invalidConfiguration, "configuration_wrong", 2,
-     "correct the key that is named; check-config reads the file as serve does"},
+     "correct the key that the message names; check-config applies the same checks as serve"},
     {ErrorKind::invalidOperatorFile, "operator_file_wrong", 2,
-     "correct the line that is named; check-config --operator reads the file as serve does"},
-    {ErrorKind::unreadableFile, "file_unreadable", 2, "check the path and who may read it"},
+     "correct the line that the message names; check-config --operator applies the same checks as serve"},
+    {ErrorKind::unreadableFile, "file_unreadable", 2, "check the path and its read permissions"},
     {ErrorKind::invalidAdminRequest, "request_wrong", 6,
-     "correct the message; docs/operating/drain.md has the words"},
+     "correct the request; docs/operating/drain.md describes the format"},
     {ErrorKind::systemCallFailed, "system_failed", 1,
-     "look at the machine's memory and at the process's bound of descriptors (ulimit -n)"},
+     "check the machine's free memory and the process's limit of file descriptors (ulimit -n)"},
     {ErrorKind::listenFailed, "listen_failed", 1,
-     "see who listens at that address, and whether this machine has it"},
+     "check which process listens on the address, and whether the address belongs to this machine"},
     {ErrorKind::adminSocketFailed, "door_failed", 1,
-     "see what stands at door.socket, and whether its folder is there and may be written"},
+     "check what exists at the path door.socket, and whether its directory exists and is writable"},
     {ErrorKind::outOfMemory, "out_of_memory", 1,
-     "give the machine more memory, or lower limits.memory_mb; the process is to be started again"},
+     "give the machine more memory or lower limits.memory_mb, then restart the process"},
     {ErrorKind::acceptFailed, "accept_failed", 1,
-     "one connection was lost, later ones are taken; if it stays, look at descriptors and memory"},
+     "one connection was lost, later ones are accepted; if it recurs, check descriptors and memory"},
     {ErrorKind::outOfDescriptors, "descriptors_short", 1,
-     "raise limits.sockets, or look for an executor that needs many connections"},
+     "raise limits.sockets, or find an engine that needs many connections"},
     {ErrorKind::connectFailed, "connect_failed", 1,
-     "check the process at that address and the path to it; jobs go elsewhere meanwhile"},
+     "check the process at that address and the path to it; requests go to other engines meanwhile"},
     {ErrorKind::engineProtocolError, "peer_unreadable", 1,
-     "one executor: look at its version; all of them: look at proxies in between"},
+     "one engine: check its version; all engines: check the proxies on the path"},
     {ErrorKind::engineUnresponsive, "peer_silent", 1,
-     "one executor: it hangs or is cut off; all: look at this machine's CPU and network"},
-    {ErrorKind::clientProtocolError, "client_unreadable", 1, "look at that client; others are untouched"},
-    {ErrorKind::invalidRequest, "job_refused", 1, "correct that client's field; its connection goes on"},
+     "one engine: it hangs or is unreachable; all engines: check this machine's CPU and network"},
+    {ErrorKind::clientProtocolError, "client_unreadable", 1,
+     "check that client; other clients are not affected"},
+    {ErrorKind::invalidRequest, "job_refused", 1,
+     "correct the field in that client; its connection stays open"},
     {ErrorKind::discoveryUnreachable, "list_unreachable", 1,
-     "mend the change log or the path to it; the list known so far is used meanwhile"},
+     "repair the source of the endpoint list or the path to it; the last known list is used meanwhile"},
     {ErrorKind::discoveryInterrupted, "list_cut", 1,
-     "nothing, if it does not come often; it goes on where it was"},
-    {ErrorKind::discoveryStalled, "list_silent", 1, "look at the change log's process; it beats each second"},
-    {ErrorKind::discoveryProtocolError, "list_unreadable", 1, "look at what writes the change log"},
-    {ErrorKind::invalidEndpointEntry, "entry_unusable", 1, "correct that executor's entry in the change log"},
+     "no action unless it recurs often; the endpoint watcher resumes where it was interrupted"},
+    {ErrorKind::discoveryStalled, "list_silent", 1,
+     "check the process that serves the endpoint list; it sends a heartbeat every second"},
+    {ErrorKind::discoveryProtocolError, "list_unreadable", 1,
+     "check the process that writes the endpoint list"},
+    {ErrorKind::invalidEndpointEntry, "entry_unusable", 1,
+     "correct the record of that engine in the endpoint list"},
     {ErrorKind::adminConnectionLimit, "door_full", 5,
-     "find who holds the door's connections, or raise door.clients"},
-    {ErrorKind::permissionDenied, "not_let_in", 5, "ask as the controller's user or as root"},
-    {ErrorKind::adminUnreachable, "no_answer", 5, "see whether the controller runs and this is its door"},
-    {ErrorKind::adminRequestRefused, "refused", 6, "the controller's text names the cause"},
-    {ErrorKind::unexpected, "unexpected", 1, "report it with the lines of the log around it"},
+     "find the clients that hold admin connections open, or raise door.clients"},
+    {ErrorKind::permissionDenied, "not_let_in", 5, "repeat the command as the controller's user or as root"},
+    {ErrorKind::adminUnreachable, "no_answer", 5,
+     "check whether the controller is running and this is its admin socket"},
+    {ErrorKind::adminRequestRefused, "refused", 6, "the controller's message states the cause"},
+    {ErrorKind::unexpected, "unexpected", 1, "report this error with the surrounding log lines"},
 }};
 
-/// Never fails: `kErrorDescriptions` has an entry for every kind but `count`.
+/// Returns the description of `kind`. `kErrorDescriptions` has an entry for every kind except `count`.
 constexpr const ErrorDescription& descriptionOf(ErrorKind kind) {
   return kErrorDescriptions[static_cast<std::size_t>(kind)];
 }
 
-/// The base class of all typed errors. `what()` is "context: message", or the message alone if there is no
-/// context.
+/// The base class of all typed errors. `what()` is "context: message", or only the message if the context is
+/// empty.
 class Error : public std::runtime_error {
  public:
-  /// `context` locates the fault: file and key, address, engine. An empty `hint` stands for the kind's hint.
+  /// `context` locates the fault: file and key, address or engine. If `hint` is empty, the hint of the kind
+  /// applies.
   Error(ErrorKind kind, std::string context, std::string message, std::string hint = "")
       : std::runtime_error(context.empty() ? message : context + ": " + message),
         kind_(kind),
@@ -134,7 +142,7 @@
   std::string hint_;
 };
 
-/// A distinct type for a kind, so that it can be caught by its type.
+/// A separate type for each kind, so that callers can catch errors of one kind.
 template <ErrorKind K>
 struct ErrorOfKind : Error {
   explicit ErrorOfKind(const std::string& message) : Error(K, "", message) {}
@@ -142,13 +150,14 @@
       : Error(K, context, message, hint) {}
 };
 
-/// A system call that failed with `errorNumber`, its errno.
+/// A failed system call. `errorNumber` is the errno value that it set.
 template <ErrorKind K>
 struct SystemErrorOfKind : Error {
   SystemErrorOfKind(const std::string& context, const std::string& call, int errorNumber)
       : Error(K, context, call + ": " + std::strerror(errorNumber),
-              errorNumber == EMFILE || errorNumber == ENFILE ? "raise the bound of descriptors (ulimit -n)"
-                                                             : ""),
+              errorNumber == EMFILE || errorNumber == ENFILE
+                  ? "raise the limit of file descriptors (ulimit -n)"
+                  : ""),
         errorNumber_(errorNumber) {}
   int errorNumber() const { return errorNumber_; }
 
@@ -160,14 +169,14 @@
 using ListenError = SystemErrorOfKind<ErrorKind::listenFailed>;
 using FileReadError = ErrorOfKind<ErrorKind::unreadableFile>;
 
-/// Converts any exception to an `Error`. `context` is used if the exception has none, `fallbackKind` if it is
-/// no `Error` and no failed allocation.
+/// Converts any exception to an `Error`. `context` is used if the exception has none. `fallbackKind` is used
+/// if the exception is neither an `Error` nor std::bad_alloc.
 inline Error toError(const std::exception& caught, const std::string& context,
                      ErrorKind fallbackKind = ErrorKind::unexpected) {
   if (const auto* error = dynamic_cast<const Error*>(&caught))
     return error->context().empty() ? Error(error->kind(), context, error->message(), error->hint()) : *error;
   if (dynamic_cast<const std::bad_alloc*>(&caught))
-    return {ErrorKind::outOfMemory, context, "no memory for a table that grows"};
+    return {ErrorKind::outOfMemory, context, "no memory for a growing table"};
   return {fallbackKind, context, caught.what()};
 }
 
--- a/src/base/logger.hpp
+++ b/src/base/logger.hpp
@@ -10,27 +10,29 @@
 
 namespace paddletrack {
 
-/// Severity of a log record, in ascending order: records below a threshold are dropped by comparison.
-// NOLINTNEXTLINE(performance-enum-size): the command line's parser reads a one-byte type as a character.
+/// The severity of a log record, in ascending order, so that records below a threshold can be dropped by
+/// comparison.
+// NOLINTNEXTLINE(performance-enum-size): the command line parser reads a one-byte type as a character.
 enum class LogLevel { debug, info, warning, error };
 
-/// A structured value beside the message, for programs that read the log.
+/// A structured value in addition to the message, for programs that read the log.
 struct LogField {
   const char* name;
   std::string value;
 };
 
-/// One line of the log. The message has to be understandable without the fields.
+/// One line of the log. The message must be understandable without the fields.
 struct LogRecord {
   LogLevel level = LogLevel::info;
-  /// One of a fixed set of names, by which operators filter and the writer limits the rate of lines.
+  /// One of a fixed set of names. Operators filter by topic, and the log writer limits the rate of lines per
+  /// topic.
   const char* topic = "";
   std::string message;
   std::vector<LogField> fields{};
 };
 
-/// Passes log records to a sink. Components hold a logger by reference and do not know what becomes of the
-/// records: the program writes them to standard error, tests collect them.
+/// Passes log records to a sink. Components hold a logger by reference and do not depend on the sink: the
+/// program writes the records to standard error, tests collect them.
 class Logger {
  public:
   using Fields = std::initializer_list<LogField>;
@@ -51,18 +53,18 @@
     log(LogLevel::error, topic, std::move(message), fields);
   }
 
-  /// Logs the text of `error`, after `prefix`, with the error's kind, context and hint as the first fields.
+  /// Logs `prefix` and the text of `error`, with the error's kind, context and hint as the first fields.
   void warning(const char* topic, const Error& error, Fields fields = {},
                const std::string& prefix = "") const {
     logError(LogLevel::warning, topic, error, fields, prefix);
   }
-  /// The same for an error that ends the process or a part of it.
+  /// Logs an error that ends the process or a part of it; the arguments are those of `warning`.
   void error(const char* topic, const Error& error, Fields fields = {},
              const std::string& prefix = "") const {
     logError(LogLevel::error, topic, error, fields, prefix);
   }
 
-  /// Callers that still log without a verb; new code names the level.
+  /// For existing callers that do not name the level. New code calls the functions above.
   void operator()(const char* topic, std::string message, Fields fields = {},
                   LogLevel level = LogLevel::info) const {
     log(level, topic, std::move(message), fields);
@@ -72,7 +74,7 @@
     logError(level, topic, error, fields, prefix);
   }
 
-  /// Logs at a level that is known only at run time.
+  /// Logs at a level that is determined at run time.
   void log(LogLevel level, const char* topic, std::string message, Fields fields = {}) const {
     sink_({level, topic, std::move(message), fields});
   }
--- a/src/base/sliding_window_sum.hpp
+++ b/src/base/sliding_window_sum.hpp
@@ -7,15 +7,16 @@
 
 namespace paddletrack {
 
-/// A span of time. Instants are written as the span since the start of the controller.
+/// A span of time. A point in time is represented as the time since the controller started.
 using Duration = std::chrono::microseconds;
 
-/// Sum of the values added during a sliding window. The window is a ring of `Buckets` buckets, so that memory
-/// is constant and old values leave a bucket at a time. Times passed to one object must not go back.
+/// The sum of the values that were added during a sliding window. The window is a ring of `Buckets` buckets:
+/// memory is constant, and old values expire one bucket at a time. The times passed to an object must not
+/// decrease.
 template <typename Value, std::size_t Buckets = 8>
 class SlidingWindowSum {
  public:
-  /// `bucketDuration` is raised to one microsecond if it is shorter.
+  /// A `bucketDuration` of less than one microsecond is raised to one microsecond.
   explicit SlidingWindowSum(Duration bucketDuration = Duration{1})
       : bucketDuration_(bucketDuration > Duration{0} ? bucketDuration : Duration{1}) {}
 
@@ -24,7 +25,8 @@
     bucketSums_[static_cast<std::size_t>(latestBucket_ % Buckets)] += value;
   }
 
-  /// Sum over the window that ends at `now`. It covers at least `Buckets - 1` full bucket durations.
+  /// Returns the sum over the window that ends at `now`. The window covers at least `Buckets - 1` full bucket
+  /// durations.
   Value sum(Duration now) {
     advanceTo(now);
     Value total{};
--- a/src/base/utf8.hpp
+++ b/src/base/utf8.hpp
@@ -5,7 +5,7 @@
 
 namespace paddletrack {
 
-/// Appends the UTF-8 encoding of a Unicode code point. The caller has ruled out surrogates.
+/// Appends the UTF-8 encoding of a Unicode code point. `codePoint` must not be a surrogate.
 inline void appendUtf8(std::string& output, std::uint32_t codePoint) {
   const auto appendContinuation = [&](int shift) {
     output += static_cast<char>(0x80 | ((codePoint >> shift) & 0x3f));
