--- a/src/protocol/controller_config.cpp
+++ b/src/protocol/controller_config.cpp
@@ -8,7 +8,7 @@
 namespace paddletrack::protocol {
 namespace {
 
-constexpr unsigned kMaxAttemptCount = 255;   // The number of an attempt of a request has eight bits.
+constexpr unsigned kMaxAttemptCount = 255;   // The index of an attempt has eight bits.
 constexpr double kMaxThreadCount = 1 << 16;  // More than any machine has.
 
 RequestClass readRequestClass(const SettingsReader& reader, std::size_t index, std::size_t classCount) {
@@ -54,14 +54,14 @@
     deployment.loadsBlockReaders = deployment.loadsBlockReaders || requestClass.waitsForDataLoads;
     config.requestClassNames.push_back(reader.readString("profiles." + std::to_string(index) + ".name"));
   }
-  if (deployment.requestClasses.empty()) throw ParseError("settings: profiles.count", "no reservation type");
+  if (deployment.requestClasses.empty()) throw ParseError("settings: profiles.count", "no request class");
 }
 
 void readZoneAndMachineTypeNames(const SettingsReader& reader, ControllerConfig& config) {
   config.zoneNames = reader.readList("zones");
   config.machineTypeNames = reader.readList("machineTypes");
   if (!config.zoneNames.empty() && config.deployment.zone >= config.zoneNames.size())
-    throw ParseError("settings: zone", "'" + reader.readString("zone") + "' is none of zones");
+    throw ParseError("settings: zone", "'" + reader.readString("zone") + "' is not in zones");
 }
 
 void readMachineTypes(const SettingsReader& reader, ControllerConfig& config) {
@@ -73,7 +73,7 @@
   }
 }
 
-// What the engines of this deployment support.
+// Reads which features the engines of this deployment support.
 void readEngineCapabilities(const SettingsReader& reader, Deployment& deployment) {
   deployment.weightGrowsWithWork = reader.readString("valueBy") == "work";
   deployment.honorsMemoryGrants = reader.readBool("familyInfo.memoryHeeded");
@@ -116,7 +116,7 @@
   deployment.crossZoneCost = reader.readNumber("prices.crossZone");
 }
 
-// What only the connections to clients and engines need.
+// Reads the settings that only the connections to clients and engines use.
 void readServiceLimits(const SettingsReader& reader, ControllerConfig& config) {
   config.maxOpenRequests = reader.readString("limits.maxOpen").empty()
                                ? std::numeric_limits<std::size_t>::max()
@@ -130,7 +130,7 @@
 
 }  // namespace
 
-// Settings are read in a fixed order, so that the first one that is wrong is always the same.
+// Settings are read in a fixed order, so that the same invalid setting is always the one reported.
 ControllerConfig decodeControllerConfig(const FlatSettings& settings) {
   const SettingsReader reader(settings);
   ControllerConfig config;
--- a/src/protocol/controller_config.hpp
+++ b/src/protocol/controller_config.hpp
@@ -10,25 +10,25 @@
 
 namespace paddletrack::protocol {
 
-/// The settings of a controller: the deployment, and what only its connections need.
+/// The settings of a controller: the deployment, and the settings that only its connections use.
 struct ControllerConfig {
   Deployment deployment;
   std::vector<std::string> requestClassNames;
   std::vector<std::string> tenantNames;
   std::vector<std::string> zoneNames;
   std::vector<std::string> machineTypeNames;
-  /// The meaning of the values of a load report, in their order.
+  /// The names of the values of a load report, in the order in which they are reported.
   std::vector<std::string> loadReportNames;
-  /// Limit of requests that this controller has open at a time.
+  /// The maximum number of requests that are open at a time in this controller.
   std::size_t maxOpenRequests = 0;
-  /// Limit of attempts in flight on a connection to an engine.
+  /// The maximum number of attempts in flight on a connection to an engine.
   std::size_t maxAttemptsPerConnection = 1;
   Duration connectTimeout{0};
   Duration idleTimeout{0};
   Duration responseSlack{0};
 };
 
-/// Throws ParseError with the key of the first setting that is wrong.
+/// Decodes the settings. Throws ParseError with the key of the first invalid setting.
 ControllerConfig decodeControllerConfig(const FlatSettings& settings);
 
 /// Returns the index of `name` in `names`; throws ParseError with `subject` as its context if it is absent.
--- a/src/protocol/endpoint_event.cpp
+++ b/src/protocol/endpoint_event.cpp
@@ -17,10 +17,10 @@
 
 std::vector<std::string> parseAddresses(const Json& addresses) {
   const auto* elements = std::get_if<Json::Elements>(&addresses.value);
-  if (!elements) throw ParseError("addrs", "a list is wanted");
+  if (!elements) throw ParseError("addrs", "an array is expected");
   std::vector<std::string> parsedAddresses;
   for (const Json& element : *elements) {
-    // What is not a string becomes an empty address, which is reported where addresses are parsed.
+    // A value that is not a string becomes an empty address, which the parser of addresses reports.
     const auto* text = std::get_if<std::string>(&element.value);
     parsedAddresses.push_back(text ? *text : std::string());
   }
@@ -62,7 +62,7 @@
   const auto [end, error] = std::from_chars(line.data(), line.data() + line.size(), parsedLine.sequence);
   if (error != std::errc{} || end != line.data() + line.size())
     throw ParseError("'" + std::string(line.substr(0, kMaxQuotedBytes)) +
-                     "' is neither an event nor a number");
+                     "' is neither an event nor a sequence number");
   return parsedLine;
 }
 
--- a/src/protocol/endpoint_event.hpp
+++ b/src/protocol/endpoint_event.hpp
@@ -11,7 +11,8 @@
 
 namespace paddletrack::protocol {
 
-/// An engine in an event of the endpoint list. Zone and machine type are names that have not been looked up.
+/// An engine in an event of the endpoint list. Zone and machine type are names as received, not yet resolved
+/// to indices.
 struct EndpointEntry {
   std::string id;
   std::string address;
@@ -19,20 +20,22 @@
   std::string machineType;
   unsigned cell = 0;
   EndpointState state = EndpointState::ready;
-  /// Milliseconds since the Unix epoch; 0 if the process has run for a long time.
+  /// When the process started, in milliseconds since the Unix epoch; 0 if it started long ago.
   std::int64_t startedAtMs = 0;
   /// All addresses, the preferred one first; empty if the list names only `address`.
   std::vector<std::string> addresses{};
 };
 
-/// A change of the endpoint list. A snapshot replaces the list, other events change the engines they name.
+/// A change of the endpoint list. A snapshot replaces the list; any other event changes only the engines that
+/// it names.
 struct EndpointEvent {
   std::uint64_t sequence = 0;
   bool isSnapshot = false;
   std::vector<EndpointEntry> entries;
 };
 
-/// Events of an unknown kind have a sequence number and no entries.
+/// Decodes an event. An event of an unknown kind yields its sequence number and no entries. Throws ParseError
+/// if a field is missing or invalid.
 EndpointEvent parseEndpointEvent(const Json& event);
 
 /// A line of the endpoint list: an event or, as a heartbeat, the sequence number of the last event.
@@ -43,7 +46,7 @@
 
 EndpointListLine parseEndpointListLine(std::string_view line);
 
-/// The request for all events after `sequence`.
+/// Encodes the request for all events after `sequence`.
 std::string encodeSince(std::uint64_t sequence);
 
 }  // namespace paddletrack::protocol
--- a/src/protocol/flat_settings.cpp
+++ b/src/protocol/flat_settings.cpp
@@ -5,7 +5,8 @@
 namespace paddletrack::protocol {
 namespace {
 
-// Stands for a comma within an element of a list, whose elements are joined by commas (ASCII unit separator).
+// Replaces a comma within an element of a list, because the elements are joined by commas (ASCII unit
+// separator).
 constexpr char kEscapedComma = '\x1f';
 
 std::vector<std::string> split(std::string_view text, char separator) {
@@ -20,7 +21,7 @@
 }
 
 void insertUnique(FlatSettings& settings, const std::string& path, const std::string& text) {
-  if (!settings.emplace(path, text).second) throw ParseError("settings: " + path, "stands twice");
+  if (!settings.emplace(path, text).second) throw ParseError("settings: " + path, "duplicate setting");
 }
 
 void flattenValue(const Json& value, const std::string& path, FlatSettings& settings);
@@ -28,7 +29,7 @@
 std::string flattenListElement(const Json& element, const std::string& path) {
   FlatSettings flattened;
   flattenValue(element, "", flattened);
-  if (flattened.size() != 1) throw ParseError("settings: " + path, "a list within a list");
+  if (flattened.size() != 1) throw ParseError("settings: " + path, "nested lists are not supported");
   std::string text = flattened.begin()->second;
   std::replace(text.begin(), text.end(), ',', kEscapedComma);
   return text;
@@ -67,7 +68,7 @@
   } else if (std::holds_alternative<double>(value.value)) {
     insertUnique(settings, path, value.numberText);
   } else if (path.empty()) {
-    settings[path];  // A null element of a list is an empty element; any other null counts as absent.
+    settings[path];  // A null in a list is an empty element; any other null is absent.
   }
 }
 
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -9,10 +9,10 @@
 namespace paddletrack::protocol {
 namespace {
 
-constexpr double kMaxExactInteger = 9e15;  // A double holds every integer below it.
-constexpr int kMaxDepth = 32;              // Bounds the recursion that peers' bytes can cause.
+constexpr double kMaxExactInteger = 9e15;  // A double represents every integer below it exactly.
+constexpr int kMaxDepth = 32;              // Limits the recursion that input from peers can cause.
 
-// A recursive descent parser of RFC 8259. Errors name the offset of the byte at which parsing stopped.
+// A recursive descent parser of RFC 8259. Errors give the byte offset at which parsing stopped.
 class JsonParser {
  public:
   explicit JsonParser(std::string_view text) : text_(text) {}
@@ -20,7 +20,7 @@
   Json parseDocument() {
     Json document = parseValue(0);
     skipWhitespace();
-    if (position_ != text_.size()) fail("more after the value");
+    if (position_ != text_.size()) fail("unexpected text after the value");
     return document;
   }
 
@@ -75,14 +75,14 @@
     if (consumeChar('}')) return members;
     do {
       skipWhitespace();
-      if (peek() != '"') fail("a name is wanted");
+      if (peek() != '"') fail("expected a member name");
       std::string name = parseString();
-      if (!consumeChar(':')) fail("':' is wanted");
+      if (!consumeChar(':')) fail("expected ':'");
       for (const auto& member : members)
-        if (member.first == name) fail("a name stands twice");
+        if (member.first == name) fail("duplicate member name");
       members.emplace_back(std::move(name), parseValue(depth + 1));
     } while (consumeChar(','));
-    if (!consumeChar('}')) fail("',' or '}' is wanted");
+    if (!consumeChar('}')) fail("expected ',' or '}'");
     return members;
   }
 
@@ -93,17 +93,17 @@
     do {
       elements.push_back(parseValue(depth + 1));
     } while (consumeChar(','));
-    if (!consumeChar(']')) fail("',' or ']' is wanted");
+    if (!consumeChar(']')) fail("expected ',' or ']'");
     return elements;
   }
 
   void skipDigits() {
     const std::size_t start = position_;
     while (peek() >= '0' && peek() <= '9') ++position_;
-    if (position_ == start) fail("a value is wanted");
+    if (position_ == start) fail("expected a value");
   }
 
-  // Returns the text of a number, which JSON's grammar restricts more than std::from_chars.
+  // Scans a number and returns its text. JSON's grammar for numbers is stricter than that of std::from_chars.
   std::string scanNumber() {
     const std::size_t start = position_;
     if (peek() == '-') ++position_;
@@ -129,7 +129,7 @@
     const std::string_view digits = text_.substr(position_, 4);
     const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), code, 16);
     if (digits.size() < 4 || error != std::errc{} || end != digits.data() + 4)
-      fail("four hex digits are wanted");
+      fail("expected four hexadecimal digits");
     position_ += 4;
     return code;
   }
@@ -137,20 +137,20 @@
   static bool isHighSurrogate(unsigned code) { return code >= 0xd800 && code < 0xdc00; }
   static bool isLowSurrogate(unsigned code) { return code >= 0xdc00 && code < 0xe000; }
 
-  // Parses the digits of a Unicode escape, and a second escape if the first is half of a surrogate pair.
+  // Parses the digits of a Unicode escape. After a high surrogate, parses a second escape, the low surrogate.
   unsigned parseEscapedCodePoint() {
     const unsigned code = parseHexQuad();
-    if (isLowSurrogate(code)) fail("half a surrogate pair");
+    if (isLowSurrogate(code)) fail("unpaired surrogate");
     if (!isHighSurrogate(code)) return code;
-    if (!consumeLiteral("\\u")) fail("half a surrogate pair");
+    if (!consumeLiteral("\\u")) fail("unpaired surrogate");
     const unsigned lowSurrogate = parseHexQuad();
-    if (!isLowSurrogate(lowSurrogate)) fail("half a surrogate pair");
+    if (!isLowSurrogate(lowSurrogate)) fail("unpaired surrogate");
     return 0x10000 + ((code - 0xd800) << 10) + (lowSurrogate - 0xdc00);
   }
 
-  // Parses what follows a backslash.
+  // Parses the rest of an escape sequence, after its backslash.
   void appendEscaped(std::string& text) {
-    if (!hasMore()) fail("an unfinished string");
+    if (!hasMore()) fail("unterminated string");
     const char escaped = text_[position_++];
     if (escaped == 'u') {
       appendUtf8(text, parseEscapedCodePoint());
@@ -159,7 +159,7 @@
     constexpr std::string_view kEscapes = "\"\\/bfnrt";
     constexpr std::string_view kUnescaped = "\"\\/\b\f\n\r\t";
     const std::size_t escapeIndex = kEscapes.find(escaped);
-    if (escapeIndex == std::string_view::npos) fail("an unknown escape");
+    if (escapeIndex == std::string_view::npos) fail("unknown escape sequence");
     text += kUnescaped[escapeIndex];
   }
 
@@ -167,9 +167,9 @@
     std::string text;
     ++position_;
     while (peek() != '"') {
-      if (!hasMore()) fail("an unfinished string");
+      if (!hasMore()) fail("unterminated string");
       const char character = text_[position_++];
-      if (static_cast<unsigned char>(character) < 0x20) fail("a control character in a string");
+      if (static_cast<unsigned char>(character) < 0x20) fail("unescaped control character in a string");
       if (character == '\\')
         appendEscaped(text);
       else
@@ -186,7 +186,7 @@
 template <typename Expected>
 const Expected& getAs(const Json& object, std::string_view name, const char* kind) {
   const auto* value = std::get_if<Expected>(&object.at(name).value);
-  if (!value) throw ParseError(std::string(name), std::string(kind) + " is wanted");
+  if (!value) throw ParseError(std::string(name), std::string(kind) + " is expected");
   return *value;
 }
 
@@ -215,13 +215,13 @@
 bool Json::getBool(std::string_view name) const { return getAs<bool>(*this, name, "true or false"); }
 
 const Json::Elements& Json::getArray(std::string_view name) const {
-  return getAs<Elements>(*this, name, "a list");
+  return getAs<Elements>(*this, name, "an array");
 }
 
 std::uint64_t Json::getUnsigned(std::string_view name) const {
   const double number = getNumber(name);
   const bool isExactUnsigned = number >= 0 && number < kMaxExactInteger && number == std::floor(number);
-  if (!isExactUnsigned) throw ParseError(std::string(name), "a whole number is wanted");
+  if (!isExactUnsigned) throw ParseError(std::string(name), "expected an unsigned integer");
   return static_cast<std::uint64_t>(number);
 }
 
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -11,12 +11,13 @@
 
 namespace paddletrack::protocol {
 
-/// Bytes from a peer or a file that do not follow their format. The context, if any, is the key or field.
+/// Thrown for input from a peer or a file that does not follow its format. The context, if any, is the key or
+/// field.
 struct ParseError : ErrorOfKind<ErrorKind::engineProtocolError> {
   using ErrorOfKind::ErrorOfKind;
 };
 
-/// A JSON value (RFC 8259). Members keep the order of the text.
+/// A JSON value (RFC 8259). Members keep their order in the text.
 class Json {
  public:
   using Members = std::vector<std::pair<std::string, Json>>;
@@ -25,10 +26,10 @@
   /// The text of a number, for callers that need its digits rather than the nearest double.
   std::string numberText;
 
-  /// Returns the member, or null if there is none or this value is not an object.
+  /// Returns the member, or nullptr if it is absent or this value is not an object.
   const Json* find(std::string_view name) const;
 
-  /// These throw ParseError with the name of the member if it is absent or of another type.
+  /// These functions throw ParseError with the name of the member if it is absent or has another type.
   const Json& at(std::string_view name) const;
   const std::string& getString(std::string_view name) const;
   double getNumber(std::string_view name) const;
@@ -37,7 +38,8 @@
   const Elements& getArray(std::string_view name) const;
 };
 
-/// Parses exactly one value. Throws ParseError also for repeated member names and for deep nesting.
+/// Parses a text that consists of exactly one value. Throws ParseError, also for duplicate member names and
+/// for nesting that is too deep.
 Json parseJson(std::string_view text);
 
 }  // namespace paddletrack::protocol
--- a/src/protocol/resp.cpp
+++ b/src/protocol/resp.cpp
@@ -10,15 +10,16 @@
 constexpr std::size_t kMaxCountDigits = 12;
 constexpr int kTabsPerRow = 2;
 
-// Parses `marker`, a number of at most `maximum` and a line end, and moves `position` behind them. Returns
-// none while the line end has not arrived.
+// Parses `marker`, a number of at most `maximum` and CRLF, and advances `position` past them. Returns
+// std::nullopt while the CRLF has not arrived.
 std::optional<std::size_t> parseCount(std::string_view input, std::size_t& position, char marker,
                                       std::size_t maximum) {
   if (position >= input.size()) return std::nullopt;
-  if (input[position] != marker) throw ParseError(std::string("RESP: '") + marker + "' is wanted");
+  if (input[position] != marker) throw ParseError(std::string("RESP: expected '") + marker + "'");
   const std::size_t end = input.find("\r\n", position);
   if (end == std::string_view::npos) {
-    if (input.size() - position > kMaxCountDigits) throw ParseError("RESP: a count without an end");
+    if (input.size() - position > kMaxCountDigits)
+      throw ParseError("RESP: count is too long or not terminated by CRLF");
     return std::nullopt;
   }
   std::size_t count = 0;
@@ -26,7 +27,7 @@
   if (error != std::errc{} || parsedEnd != input.data() + end || count > maximum) {
     throw ParseError("RESP: '" +
                      std::string(input.substr(position + 1, std::min(end - position - 1, kMaxCountDigits))) +
-                     "' is no count of up to " + std::to_string(maximum));
+                     "' is not a count of at most " + std::to_string(maximum));
   }
   position = end + 2;
   return count;
@@ -45,26 +46,26 @@
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc{} || end != text.data() + text.size())
     throw ParseError("RESP: " + std::string(name) + ": '" + std::string(text.substr(0, 20)) +
-                     "' is no number");
+                     "' is not a number");
   return value;
 }
 
 }  // namespace
 
-Array parseArray(std::string_view input, std::size_t maxWordBytes) {
+Array parseArray(std::string_view input, std::size_t maxBulkStringBytes) {
   Array array;
   std::size_t position = 0;
   const auto count = parseCount(input, position, '*', kMaxBulkStrings);
   if (!count) return array;
   for (; array.count < *count; ++array.count) {
-    const auto length = parseCount(input, position, '$', maxWordBytes);
+    const auto length = parseCount(input, position, '$', maxBulkStringBytes);
     if (!length) return array;
     if (input.size() - position < *length + 2) {
       array.requiredSize = position + *length + 2;
       return array;
     }
     if (input.substr(position + *length, 2) != "\r\n")
-      throw ParseError("RESP: a word is longer than its count");
+      throw ParseError("RESP: bulk string does not end at its declared length");
     array.bulkStrings[array.count] = input.substr(position, *length);
     position += *length + 2;
   }
@@ -81,20 +82,20 @@
   if (status == "504") return AnswerKind::timedOut;
   if (status == "chunk") return AnswerKind::chunk;
   if (status == "alive") return AnswerKind::alive;
-  // Another word may be a message of a later version of the engine; anything else is not the protocol.
+  // A lower-case word may be a status of a later engine version; anything else violates the protocol.
   if (status.empty() || status.find_first_not_of("abcdefghijklmnopqrstuvwxyz_-") != std::string_view::npos)
-    throw ParseError("RESP: an answer that is noise");
+    throw ParseError("RESP: response status is neither a known code nor a lower-case word");
   return AnswerKind::unknown;
 }
 
-// Reads fields of the form name=value, joined by commas; unknown names are ignored.
+// Parses comma-separated fields of the form name=value. Unknown names are ignored.
 void parseAnswerFields(std::string_view fields, Answer& answer) {
   bool hasPageNumber = false;
   while (!fields.empty() && fields != "-") {
     const std::size_t fieldEnd = std::min(fields.find(','), fields.size());
     const std::string_view field = fields.substr(0, fieldEnd);
     const std::size_t equals = field.find('=');
-    if (equals == std::string_view::npos) throw ParseError("RESP: a field without '='");
+    if (equals == std::string_view::npos) throw ParseError("RESP: response field has no '='");
     const std::string_view name = field.substr(0, equals);
     const std::string_view value = field.substr(equals + 1);
     if (name == "batches") answer.pageCount = parseNumber(name, value);
@@ -104,18 +105,17 @@
     }
     fields.remove_prefix(std::min(fieldEnd + 1, fields.size()));
   }
-  if (answer.kind == AnswerKind::chunk && !hasPageNumber)
-    throw ParseError("RESP: a chunk without its number");
+  if (answer.kind == AnswerKind::chunk && !hasPageNumber) throw ParseError("RESP: chunk has no batch number");
 }
 
 }  // namespace
 
 Answer parseAnswer(const Array& array) {
-  if (array.count < 2) throw ParseError("RESP: an answer has an id and a word");
+  if (array.count < 2) throw ParseError("RESP: response must have an id and a status");
   Answer answer;
   answer.id = array.bulkStrings[0];
   answer.kind = parseStatus(array.bulkStrings[1]);
-  if (answer.kind == AnswerKind::unknown) return answer;  // Its other words have no known meaning.
+  if (answer.kind == AnswerKind::unknown) return answer;  // The meaning of its other parts is unknown.
   if (array.count > 3) answer.body = array.bulkStrings[3];
   parseAnswerFields(array.count > 2 ? array.bulkStrings[2] : "-", answer);
   return answer;
@@ -153,7 +153,7 @@
 
 std::string encodeArray(std::initializer_list<std::string_view> bulkStrings) {
   std::string output = "*" + std::to_string(bulkStrings.size()) + "\r\n";
-  for (const std::string_view word : bulkStrings) appendBulkString(output, word);
+  for (const std::string_view bulkString : bulkStrings) appendBulkString(output, bulkString);
   return output;
 }
 
--- a/src/protocol/settings_reader.cpp
+++ b/src/protocol/settings_reader.cpp
@@ -56,13 +56,13 @@
   const std::string text = readString(key);
   if (text.empty()) return 0;
   const double value = parseInRange(key, text, minimum, kMaxUnsigned);
-  if (value != std::floor(value)) fail(key, text, "is not a whole number");
+  if (value != std::floor(value)) fail(key, text, "is not an integer");
   return static_cast<unsigned>(value);
 }
 
 unsigned SettingsReader::readCount(const std::string& key) const {
   const unsigned count = readUnsigned(key);
-  if (count > settings_.size()) fail(key, readString(key), "is more than is there");
+  if (count > settings_.size()) fail(key, readString(key), "exceeds the number of settings");
   return count;
 }
 
@@ -105,17 +105,17 @@
     const double index = position != knownNames.end() ? static_cast<double>(position - knownNames.begin())
                                                       : parseNumber(key, name);
     const bool isIndex = index >= 0 && index < nameCount && index == std::floor(index);
-    if (!isIndex) throw ParseError("settings: " + key, "'" + name + "' is none of " + namesKey);
+    if (!isIndex) throw ParseError("settings: " + key, "'" + name + "' is not in " + namesKey);
     indices.push_back(static_cast<unsigned>(index));
   }
-  if (indices.empty()) throw ParseError("settings: " + key, "'' names none of " + namesKey);
+  if (indices.empty()) throw ParseError("settings: " + key, "'' has no element of " + namesKey);
   return indices;
 }
 
 std::vector<std::string> SettingsReader::readParallelList(const std::string& key, std::size_t count) const {
   std::vector<std::string> values = readList(key);
   if (!values.empty() && values.size() != count)
-    fail(key, readString(key), "has not a value for each of " + std::to_string(count));
+    fail(key, readString(key), "does not have the expected number of values, " + std::to_string(count));
   return values;
 }
 
--- a/src/protocol/settings_reader.hpp
+++ b/src/protocol/settings_reader.hpp
@@ -12,34 +12,37 @@
 
 namespace paddletrack::protocol {
 
-/// Typed access to flat settings. An absent setting is zero, false or empty, as on the wire. A value that
-/// cannot be used throws ParseError with its key. Keeps a reference to the settings.
+/// Typed access to flat settings. An absent setting reads as zero, false or empty, as on the wire. The
+/// functions throw ParseError with the key of an invalid value. Keeps a reference to the settings, which must
+/// outlive it.
 class SettingsReader {
  public:
   explicit SettingsReader(const FlatSettings& settings) : settings_(settings) {}
 
   bool has(const std::string& key) const { return settings_.count(key) > 0; }
   std::string readString(const std::string& key) const;
-  /// A number from zero to an upper limit beyond which products of rates and prices lose their meaning.
+  /// Reads a number from zero to 1e12, beyond which products of rates and prices are no longer meaningful.
   double readNumber(const std::string& key) const;
   double readInRange(const std::string& key, double minimum, double maximum) const;
-  /// A whole number.
+  /// Reads an integer of at least `minimum` and at most 4e9.
   unsigned readUnsigned(const std::string& key, double minimum = 0) const;
-  /// The length of a list of objects. Each object has at least one path, which limits the length.
+  /// Reads the length of a list of objects. Each object has at least one setting, so the number of settings
+  /// is the upper limit.
   unsigned readCount(const std::string& key) const;
-  /// A number of microseconds.
+  /// Reads a number of microseconds.
   Duration readDuration(const std::string& key) const;
   bool readBool(const std::string& key) const;
-  /// One of `choices`, or empty if absent. An unknown word is an error and not the first of them.
+  /// Reads one of `choices`; returns an empty string if the setting is absent. An unknown value throws; it
+  /// does not select the first choice.
   std::string readChoice(const std::string& key, std::initializer_list<const char*> choices) const;
   std::vector<std::string> readList(const std::string& key) const;
 
-  /// An element of a list that is absent or has a value for each of `count` objects.
+  /// Reads an element of a list that has a value for each of `count` objects. The list may be absent.
   double readNumberAt(const std::string& key, std::size_t index, std::size_t count, double minimum) const;
   bool readBoolAt(const std::string& key, std::size_t index, std::size_t count) const;
 
-  /// A list of names from the list at `namesKey`, or of indices into it, as indices; none if it is absent. An
-  /// empty list is an error, for it would allow nothing.
+  /// Reads a list whose elements are names from the list at `namesKey`, or indices into it, and returns the
+  /// indices; std::nullopt if the setting is absent. An empty list throws, because it would allow nothing.
   std::optional<std::vector<unsigned>> readIndices(const std::string& key, const std::string& namesKey) const;
 
  private:
--- a/src/protocol/statement.cpp
+++ b/src/protocol/statement.cpp
@@ -14,7 +14,7 @@
 
 struct Token {
   TokenKind kind = TokenKind::end;
-  std::string text;  // Of a name: without quotes, and in lower case unless it was quoted.
+  std::string text;  // Of a name: without quotes, and in lower case unless quoted.
   bool quoted = false;
 };
 
@@ -25,8 +25,8 @@
   return isIdentifierStart(c) || std::isdigit(static_cast<unsigned char>(c)) || c == '$';
 }
 
-// Splits SQL into names and punctuation. Comments are skipped and literals are tokens of no interest; one
-// that is not closed extends to the end of the text.
+// Splits SQL into names and punctuation. Comments are skipped; literals become tokens of the kind `other`. An
+// unterminated comment or literal extends to the end of the text.
 class SqlScanner {
  public:
   explicit SqlScanner(std::string_view text) : text_(text) {}
@@ -103,13 +103,13 @@
     return word;
   }
 
-  // The dot of a number such as 1.5e3 does not join names.
+  // Skips a number such as 1.5e3, whose dot does not separate a schema from a table.
   void skipNumber() {
     while (position_ < text_.size() && (isIdentifierPart(text_[position_]) || text_[position_] == '.'))
       ++position_;
   }
 
-  // Reads a quoted name or literal, in which a doubled quote stands for one.
+  // Reads a quoted name or literal, in which two quotes represent one.
   std::string readQuoted(char quote) {
     std::string content;
     for (++position_; position_ < text_.size(); ++position_) {
@@ -151,12 +151,12 @@
   return isKeyword(token, {"where", "set", "on", "select", "values", "group", "order"});
 }
 
-// Follows the tokens of a statement and knows where the name of a table is expected.
+// Tracks the tokens of a statement to determine where a table name is expected.
 class TableNameTracker {
  public:
   bool expectsTable() const { return expectsTable_; }
 
-  // A keyword or punctuation, or a name outside a list of tables.
+  // Handles a token that is not a table name: a keyword, punctuation or another name.
   void onToken(const Token& token) {
     if (introducesTable(token)) {
       expectsTable_ = true;
@@ -169,7 +169,7 @@
     }
   }
 
-  // The name of a table has been read. "only" and "lateral" stand before one.
+  // Handles a name without a schema in the position of a table. "only" and "lateral" precede a table name.
   void onUnqualifiedName(const Token& name) { expectsTable_ = isKeyword(name, {"only", "lateral"}); }
   void onQualifiedName() { expectsTable_ = false; }
 
@@ -180,7 +180,7 @@
 
 }  // namespace
 
-// Only names in the position of a table count, because a column may be qualified by an alias or a schema.
+// Considers only names in the position of a table, because a column may be qualified by an alias or a schema.
 std::uint32_t parseTableGroup(std::string_view statement) {
   SqlScanner scanner(statement);
   TableNameTracker tracker;
--- a/src/protocol/thrift.cpp
+++ b/src/protocol/thrift.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr std::uint32_t kStrictVersion = 0x80010000;
-constexpr int kMaxDepth = 16;  // Bounds the recursion that peers' bytes can cause.
+constexpr int kMaxDepth = 16;  // Limits the recursion that input from peers can cause.
 
-// Type codes of the binary protocol. A plain enum, because codes that are not listed arrive too.
+// Type codes of the binary protocol. A plain enum, because input may contain codes that are not listed.
 enum FieldType : std::uint8_t {
   kStop = 0,
   kBool = 2,
@@ -28,7 +28,7 @@
   kList = 15,
 };
 
-// Reads the fields of one frame in order; throws ParseError where the frame ends early.
+// Reads the fields of one frame in order. Throws ParseError if the frame ends early.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
@@ -39,7 +39,7 @@
   std::string_view readString() { return readBytes(readU32()); }
   std::string_view remaining() const { return bytes_; }
 
-  // Skips the value of a field that the service does not know.
+  // Skips the value of an unknown field.
   void skipValue(std::uint8_t type, int depth = 0) {
     if (depth > kMaxDepth) throw ParseError("nested too deep");
     switch (type) {
@@ -85,8 +85,8 @@
         throw ParseError("type " + std::to_string(type) + " is unknown");
     }
   }
-  // Reads the number of elements of a container. Each element takes at least a byte, so a larger count is
-  // false and is refused before any work is done for it.
+  // Reads the number of elements of a container. An element takes at least one byte, so a count that exceeds
+  // the remaining bytes is invalid; it is rejected before any work is done for it.
   std::uint32_t readCount() {
     const std::uint32_t count = readU32();
     if (count > bytes_.size()) throw ParseError("more elements than bytes");
@@ -117,7 +117,7 @@
   appendBigEndian(output, fieldId, 2);
 }
 
-// The header of a map from string to string; its entries follow.
+// Appends the header of a map from string to string, which its entries follow.
 void appendStringMapHeader(std::string& output, std::size_t entryCount) {
   appendBigEndian(output, kString, 1);
   appendBigEndian(output, kString, 1);
@@ -137,21 +137,21 @@
   }
 }
 
-std::string encodeTailOfAnswer(bool healthy) {
+std::string buildAnswerTail(bool healthy) {
   std::string output;
   appendFieldHeader(output, kMap, 2);
   appendStringMapHeader(output, 0);
   appendFieldHeader(output, kBool, 3);
   appendBigEndian(output, healthy ? 1 : 0, 1);
-  appendBigEndian(output, kStop, 1);  // End of the Answer.
-  appendBigEndian(output, kStop, 1);  // End of the result.
+  appendBigEndian(output, kStop, 1);  // End of the struct Answer.
+  appendBigEndian(output, kStop, 1);  // End of the result struct.
   return output;
 }
 
-// The tails do not change, and one is sent with every answer.
+// The tails are constant and are encoded only once, because one is sent with every answer.
 const std::string& answerTailFor(bool healthy) {
-  static const std::string kHealthyTail = encodeTailOfAnswer(true);
-  static const std::string kUnhealthyTail = encodeTailOfAnswer(false);
+  static const std::string kHealthyTail = buildAnswerTail(true);
+  static const std::string kUnhealthyTail = buildAnswerTail(false);
   return healthy ? kHealthyTail : kUnhealthyTail;
 }
 
@@ -163,7 +163,7 @@
   return output;
 }
 
-// An exception that `submit` declares, with one field or, if `name` is empty, none.
+// Encodes an exception that `submit` declares, with one field, or without fields if `name` is empty.
 std::string encodeDeclaredException(std::int32_t sequence, std::uint16_t exceptionId, std::string_view name,
                                     std::string_view value) {
   std::string output;
@@ -181,7 +181,7 @@
   return encodeMessage("submit", MessageType::reply, sequence, output);
 }
 
-// Stores a field of a submit call in the member it belongs to. Unknown fields are ignored.
+// Stores a field of a submit call in the corresponding member. Unknown fields are ignored.
 void storeSubmitField(SubmitRequest& submit, std::string_view name, std::string_view value) {
   struct KnownField {
     std::string_view name;
@@ -202,7 +202,7 @@
   }
 }
 
-// Reads the delay of a rejection, in milliseconds; fields of other names have none.
+// Parses the retry delay of a rejection, in milliseconds. Returns std::nullopt for fields of other names.
 std::optional<std::int64_t> parseRetryAfter(std::string_view name, std::string_view value) {
   if (name != "cooldown") return std::nullopt;
   std::int64_t retryAfterMs = 0;
@@ -217,7 +217,7 @@
 constexpr std::uint16_t kRejectedResult = 1;
 constexpr std::uint16_t kFailedResult = 2;
 
-// Reads the fields of the result into `reply`. Returns whether the answer says that the controller is
+// Decodes the fields of the result into `reply`. Returns whether the answer reports the controller as
 // healthy.
 bool decodeResult(Reader& reader, std::uint16_t resultId, Reply& reply) {
   const bool isAnswer = resultId == kAnswerResult;
@@ -355,7 +355,7 @@
     if (outerType == kString) reply.body = std::string(reader.readString());
     return reply;
   }
-  if (outerType != kStruct || resultId > kFailedResult) throw ParseError("an answer without a result");
+  if (outerType != kStruct || resultId > kFailedResult) throw ParseError("reply has no result");
   const bool healthy = decodeResult(reader, resultId, reply);
   reply.outcome = outcomeOf(resultId, healthy, message.method == "heartbeat");
   return reply;
--- a/src/protocol/thrift.hpp
+++ b/src/protocol/thrift.hpp
@@ -9,19 +9,20 @@
 
 #include "protocol/json.hpp"
 
-/// Thrift with the framed transport and the strict binary protocol, as far as the service `Front` needs it.
-/// Decoders throw ParseError and do not copy: the views that they return point into the bytes they were
-/// given, which the caller has to keep.
+/// The subset of Thrift that the service `Front` needs, with the framed transport and the strict binary
+/// protocol. Decoders throw ParseError and do not copy: the views that they return point into their input,
+/// which must outlive the views.
 namespace paddletrack::protocol::thrift {
 
 constexpr std::size_t kFrameHeaderBytes = 4;
 
-/// The length of the frame at the start of `input`, without its header; none while the header is incomplete.
+/// Returns the length of the frame at the start of `input` without its header, or std::nullopt while the
+/// header is incomplete.
 std::optional<std::size_t> readFrameLength(std::string_view input);
 
 enum class MessageType : std::uint8_t { call = 1, reply = 2, exception = 3, oneway = 4 };
 
-/// The envelope of a frame; `arguments` are the bytes that follow it.
+/// The message header of a frame; `arguments` are the bytes that follow it.
 struct Message {
   MessageType type = MessageType::call;
   std::string_view method;
@@ -46,7 +47,7 @@
 
 SubmitRequest decodeSubmit(std::string_view arguments);
 
-/// Returns the sequence number of the submit call that is withdrawn.
+/// Returns the sequence number of the submit call to revoke.
 std::int32_t decodeRevoke(std::string_view arguments);
 
 /// Codes of Thrift's application exception.
@@ -73,13 +74,13 @@
 
 /// The reply of a controller to a submit or heartbeat call.
 struct Reply {
-  /// `healthy` is the outcome of a heartbeat alone. `unhealthy` is that of any answer without the flag.
+  /// Only heartbeats have the outcome `healthy`. Any answer without the healthy flag is `unhealthy`.
   enum class Outcome : std::uint8_t { completed, rejected, failed, exception, healthy, unhealthy };
   Outcome outcome = Outcome::exception;
   std::int32_t sequence = 0;
   /// The rows of the result, or the text of an exception.
   std::string body;
-  /// From a rejection: the client may submit again after this time.
+  /// Of a rejection: the delay in milliseconds after which the client may submit the request again.
   std::optional<std::int64_t> retryAfterMs;
 };
 
@@ -88,8 +89,8 @@
 
 // ---- controller side ------------------------------------------------------------------------------------
 
-/// An answer is sent as its head, `bodySize` bytes of rows and its tail, so that the rows need not be copied.
-/// The other functions encode complete frames.
+/// An answer is sent in three parts, so that the rows are not copied: the head, `bodySize` bytes of rows, and
+/// the tail. The other functions encode complete frames.
 std::string encodeAnswerHead(std::int32_t sequence, std::size_t bodySize);
 std::string_view encodeAnswerTail();
 std::string encodeRejection(std::int32_t sequence, std::optional<std::int64_t> retryAfterMs);
--- a/src/simulator/batch_server.cpp
+++ b/src/simulator/batch_server.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr std::size_t kHeaderSize = 20;
-constexpr std::size_t kLengthOverhead = 12;  // The length includes the clock and the number of records.
+constexpr std::size_t kLengthOverhead = 12;  // The length field includes the clock and the record count.
 constexpr std::size_t kEndpointEntrySize = 22;
-constexpr std::size_t kMaxReadStep = 1 << 20;  // A false length must not allocate all of it at once.
+constexpr std::size_t kMaxReadStep = 1 << 20;  // An invalid length must not allocate its full size at once.
 constexpr std::uint8_t kMaxUpdateKind = 3;
 constexpr std::uint8_t kDiscoveryFailedKind = 3;
 constexpr std::uint8_t kMaxStateCode = 2;
@@ -69,7 +69,7 @@
     } catch (const protocol::ParseError& error) {
       throw WireFormatError(recordContext + ": " + error.what());
     } catch (const std::exception& error) {
-      // A fault of the controller and not of the input: the wire has a command to report it.
+      // An error of the controller, not of the input, is reported with a command of its own.
       writer_.beginRecord(CommandCode::reportFault, 0).writeText(recordContext + ": " + error.what());
       return;
     }
@@ -123,7 +123,7 @@
   const std::uint64_t seed = fields.readU64();
   const std::string_view settings = fields.readBytes(fields.readU32());
   fields.expectEnd();
-  // A controller that is started again keeps nothing of its former state.
+  // A restarted controller keeps none of its former state.
   adapters_.erase(instance);
   adapters_.emplace(instance, std::make_unique<SimulatorAdapter>(instance, clock, seed, settings, writer_));
 }
--- a/src/simulator/batch_server.hpp
+++ b/src/simulator/batch_server.hpp
@@ -13,8 +13,8 @@
 
 namespace paddletrack::simulator {
 
-/// Hosts the controllers of a simulation: reads batches of events, passes each to its controller and writes
-/// the commands that result.
+/// Hosts the controllers of a simulation: reads batches of events, passes each event to its controller and
+/// writes the resulting commands.
 class BatchServer {
  public:
   /// Returns at the end of input. Throws WireFormatError for input that does not follow the wire format.
@@ -33,7 +33,7 @@
 
   ReplyWriter writer_;
   std::map<std::uint32_t, std::unique_ptr<SimulatorAdapter>> adapters_;
-  std::array<std::optional<std::vector<EndpointEntry>>, 16> endpointLists_;  // By their number.
+  std::array<std::optional<std::vector<EndpointEntry>>, 16> endpointLists_;  // Indexed by list number.
 };
 
 }  // namespace paddletrack::simulator
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,5 +1,5 @@
 // Runs controllers for a simulation: reads batches of events from standard input and writes replies to
-// standard output. Exit code 1 for input that does not follow the wire format.
+// standard output. Exits with 1 if the input does not follow the wire format.
 #include <exception>
 #include <iostream>
 
--- a/src/simulator/simulator_adapter.cpp
+++ b/src/simulator/simulator_adapter.cpp
@@ -15,8 +15,8 @@
 constexpr std::uint8_t kMinProgressCode = 1;
 constexpr std::uint8_t kMaxProgressCode = 3;
 
-// The cost of a finished attempt is packed into 32 bits: thousandths of a unit of work, and below them 12
-// bits of memory in units of 4 MB.
+// The cost of a finished attempt is packed into 32 bits: the work in thousandths of a unit in the upper 20
+// bits, and the memory in units of 4 MB in the lower 12 bits.
 constexpr std::uint32_t kPackedMemoryRange = 4096;
 constexpr double kPackedMemoryStepMb = 4.0;
 
@@ -132,7 +132,7 @@
     const std::uint32_t engineId = payload.readU32();
     const float threads = payload.readU16();
     const float memoryMb = payload.readU16() * kPeerMemoryStepMb;
-    // A peer may know engines that have not been listed here yet.
+    // A peer may know engines that are not yet in this controller's endpoint list.
     const auto entry = engines_.find(engineId);
     if (entry != engines_.end()) engineLoads.push_back({entry->second.get(), threads, memoryMb});
   }
--- a/src/simulator/simulator_adapter.hpp
+++ b/src/simulator/simulator_adapter.hpp
@@ -12,7 +12,7 @@
 
 namespace paddletrack::simulator {
 
-/// An engine in an endpoint list of the wire; `launchedAt` is a time of the wire's clock, 0 if unknown.
+/// An engine in an endpoint list of the wire. `launchedAt` is a time of the wire's clock; 0 if it is unknown.
 struct EndpointEntry {
   std::uint32_t engineId = 0;
   std::uint64_t launchedAt = 0;
@@ -20,15 +20,15 @@
 };
 
 /// Connects a controller to the simulator's wire: decodes events, which name requests and engines by ids, and
-/// encodes the controller's commands. Owns the requests and engines. Its maps are looked up and never
-/// iterated, so that their order cannot influence a decision and runs with one seed are equal.
+/// encodes the controller's commands. Owns the requests and engines. Its maps are never iterated, so their
+/// order cannot influence a decision, and runs with the same seed are identical.
 class SimulatorAdapter final : private AdmissionHost {
  public:
-  /// `clock` is the wire's clock in microseconds at the start. `writer` has to outlive the adapter.
+  /// `clock` is the wire's clock in microseconds at the start. `writer` must outlive the adapter.
   SimulatorAdapter(std::uint32_t instance, std::uint64_t clock, std::uint64_t seed, std::string_view settings,
                    ReplyWriter& writer);
 
-  /// Each handles one event of this controller. `fields` begins behind the number of the instance.
+  /// Each function handles one event of this controller. `fields` begins after the instance number.
   void onRequest(std::uint64_t clock, WireReader& fields);
   void onAttemptFinished(std::uint64_t clock, WireReader& fields);
   void onResponseStarted(std::uint64_t clock, WireReader& fields);
@@ -37,8 +37,8 @@
   void onClientGone(std::uint64_t clock, WireReader& fields);
   void onProgress(std::uint64_t clock, WireReader& fields);
   void onHealthCheckResult(std::uint64_t clock, WireReader& fields);
-  /// `entries` is null if the simulated endpoint list cannot be read. Kind 0 is an update, others are
-  /// snapshots.
+  /// `entries` is null if the simulated endpoint list cannot be read. An `updateKind` of 0 is an
+  /// update, others are snapshots.
   void onEndpointUpdate(std::uint64_t clock, std::uint8_t updateKind,
                         const std::vector<EndpointEntry>* entries);
 
--- a/src/simulator/wire_codec.hpp
+++ b/src/simulator/wire_codec.hpp
@@ -11,12 +11,13 @@
 
 namespace paddletrack::simulator {
 
-/// Input that does not follow the simulator's wire format. The text says what is wrong and where.
+/// Thrown for input that does not follow the simulator's wire format. The message states the error and its
+/// position.
 struct WireFormatError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// Reads big-endian fields in order. Does not own the bytes; errors begin with `description`.
+/// Reads big-endian fields in order. Does not own the bytes. Error messages begin with `description`.
 class WireReader {
  public:
   WireReader(std::string_view bytes, std::string_view description)
@@ -37,7 +38,7 @@
     return prefix;
   }
   std::size_t remainingSize() const { return bytes_.size(); }
-  /// Throws if a record is longer than its fields.
+  /// Throws WireFormatError if bytes remain, that is, if a record is longer than its fields.
   void expectEnd() const {
     if (!bytes_.empty())
       throw WireFormatError(description_ + ": " + std::to_string(bytes_.size()) + " bytes too many");
@@ -50,7 +51,7 @@
   std::string description_;
 };
 
-/// Collects the commands of a reply. The length of a command is filled in when the next one begins or the
+/// Collects the commands of a reply. The length of a command is written when the next command begins or the
 /// reply is taken.
 class ReplyWriter {
  public:
@@ -67,7 +68,7 @@
   ReplyWriter& writeU32(std::uint32_t value) { return append(value, 4); }
   ReplyWriter& writeU64(std::uint64_t value) { return append(value, 8); }
   ReplyWriter& writeF32(float value) { return writeU32(std::bit_cast<std::uint32_t>(value)); }
-  /// Writes the length and the text, which is cut to the length that the wire allows.
+  /// Writes the length and the text, truncated to the maximum length of the wire format.
   ReplyWriter& writeText(std::string_view value) {
     value = value.substr(0, kMaxTextBytes);
     writeU16(static_cast<std::uint16_t>(value.size()));
@@ -107,7 +108,7 @@
   static constexpr std::size_t kMaxTextBytes = 0xffff;
 
   std::string body_;
-  std::size_t lengthOffset_ = 0;  // Of the open record's length in `body_`; 0 if no record is open.
+  std::size_t lengthOffset_ = 0;  // Offset of the open record's length in `body_`; 0 if no record is open.
   std::uint32_t recordCount_ = 0;
 };
 
