--- a/src/failpoint/failpoint.cpp
+++ b/src/failpoint/failpoint.cpp
@@ -50,8 +50,8 @@
   void* data = nullptr;
 };
 
-// The fail points of the process, and the one that the environment has chosen. Single-threaded, as the
-// process.
+// The fail points of the process, and the one that the environment selects. Not thread-safe, because the
+// process has a single thread.
 class FailPointRegistry {
  public:
   FailPointRegistry() {
@@ -74,7 +74,7 @@
   FailPointRegistry(const FailPointRegistry&) = delete;
   FailPointRegistry& operator=(const FailPointRegistry&) = delete;
 
-  // Counts a hit. Returns the kind of failure to inject now, or an empty text.
+  // Counts a hit. Returns the kind of failure to inject now, or an empty string.
   std::string recordHit(const std::string& name, const std::string& failureKinds) {
     FailPoint& point = points_[name];
     if (point.failureKinds.empty()) point.failureKinds = failureKinds;
@@ -88,14 +88,14 @@
   std::map<int, const char*> roleByDescriptor;
   std::map<int, WatchedDescriptor> watchedDescriptors;
   const char* nextConnectRole = "other";
-  bool truncateNext = false;  // Set by `short`, for the call that has just been counted.
+  bool truncateNext = false;  // Set by the kind `short`, for the call whose hit was counted last.
 
  private:
   void appendReport(const std::string& text) const {
     if (reportPath_.empty() || text.empty()) return;
     const int fd = ::open(reportPath_.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
     if (fd < 0) return;
-    // The report is best effort: a failed write must not change what the process does.
+    // The report is best effort: a failed write must not change the behaviour of the process.
     [[maybe_unused]] const ssize_t written = ::write(fd, text.data(), text.size());
     ::close(fd);
   }
@@ -118,7 +118,7 @@
   return entry == registry().roleByDescriptor.end() ? "" : entry->second;
 }
 
-// A call on a descriptor without a role has the name of the call alone.
+// For a descriptor without a role, the fail point is named after the call only.
 std::string failPointName(int fd, const char* name) {
   const std::string role = roleOf(fd);
   return role.empty() ? name : role + "." + name;
@@ -130,14 +130,15 @@
   return EINVAL;
 }
 
-// Any call can be delayed, after which it succeeds. Returns the kind of failure that is left to inject.
+// Applies the kind `delay`, which every call supports and after which the call proceeds normally. Returns the
+// kind of failure that remains to be injected.
 std::string applyDelay(const std::string& kind) {
   if (kind != "delay") return kind;
   std::this_thread::sleep_for(kDelay);
   return "";
 }
 
-// Makes epoll report the descriptor once more, as the kernel does when a call that would block can go on.
+// Makes epoll report the descriptor again, as the kernel does when a call that returned EAGAIN can proceed.
 void repeatWatchEvent(int fd) {
   const auto watch = registry().watchedDescriptors.find(fd);
   if (watch == registry().watchedDescriptors.end()) return;
--- a/src/transport/buffer_slice.hpp
+++ b/src/transport/buffer_slice.hpp
@@ -10,7 +10,7 @@
 
 namespace paddletrack::transport {
 
-/// Immutable bytes with shared ownership, used to pass data on without a copy.
+/// Immutable bytes with shared ownership, used to forward data without copying it.
 class BufferSlice {
  public:
   BufferSlice() = default;
@@ -31,7 +31,7 @@
   std::string_view bytes_;
 };
 
-/// Contiguous input that was read and not yet parsed. Parsed parts may be retained as slices, without a copy.
+/// Contiguous input that was read and not yet parsed. Parsed parts can be retained as slices without a copy.
 class InputBuffer {
  public:
   InputBuffer(std::size_t initialSize, std::size_t maxSize) : initialSize_(initialSize), maxSize_(maxSize) {}
@@ -39,10 +39,12 @@
   std::string_view view() const { return {storage_.get() + readOffset_, writeOffset_ - readOffset_}; }
   BufferSlice retain(std::string_view bytes) const { return BufferSlice(storage_, bytes); }
   void consume(std::size_t count) { readOffset_ += count; }
-  /// Announces the total size of the message that has begun, so that space is prepared for all of it.
+  /// Announces the total size of the message that has begun, so that prepareSpace() provides space for all of
+  /// it.
   void expectSize(std::size_t size) { expectedSize_ = std::min(size, maxSize_); }
 
-  /// Space for more input, never empty. A message as long as the maximum must not be read on; see isFull().
+  /// Returns space for more input, which is never empty. The caller must stop reading when the unread input
+  /// has reached the maximum size; see isFull().
   std::pair<char*, std::size_t> prepareSpace() {
     const std::size_t unreadBytes = writeOffset_ - readOffset_,
                       requiredSize = std::max(initialSize_, expectedSize_);
@@ -50,7 +52,7 @@
         capacity_ <= 2 * initialSize_)
       readOffset_ = writeOffset_ = 0;
     if (!storage_ || writeOffset_ == capacity_ || readOffset_ + expectedSize_ > capacity_) {
-      // Twice the unread bytes, so that accumulating input is copied rarely, but not far beyond the maximum.
+      // Twice the unread bytes, so that accumulating input is rarely copied, but not far beyond the maximum.
       const std::size_t grownSize = unreadBytes + initialSize_ / 2;
       const std::size_t size =
           std::max(requiredSize, std::max(grownSize, std::min(2 * unreadBytes, maxSize_)));
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -18,7 +18,7 @@
 namespace paddletrack::transport {
 namespace {
 
-constexpr std::size_t kMaxSlicesPerWrite = 64;  // Slices.
+constexpr std::size_t kMaxSlicesPerWrite = 64;
 constexpr std::chrono::milliseconds kAcceptRetryInterval{20};
 
 int openStreamSocket(int family) { return ::socket(family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
@@ -55,9 +55,9 @@
     auto& path = reinterpret_cast<sockaddr_un&>(storage_);
     const std::string name = text.substr(kUnixPrefix.size());
     if (!name.starts_with('/') || name.find('\0') != std::string::npos)
-      throw std::invalid_argument("'" + text + "': a path from the root is wanted");
+      throw std::invalid_argument("'" + text + "': path must be absolute");
     if (name.size() >= sizeof path.sun_path)
-      throw std::invalid_argument("'" + text + "': a socket's path has " +
+      throw std::invalid_argument("'" + text + "': a socket path may have " +
                                   std::to_string(sizeof path.sun_path - 1) + " bytes at most");
     path.sun_family = AF_UNIX;
     std::memcpy(path.sun_path, name.data(), name.size());
@@ -120,10 +120,10 @@
 Connection::~Connection() { outputBudget_.usedBytes -= unsentBytes(); }
 
 Task<bool> Connection::receive(std::optional<TimePoint> deadline) {
-  if (!isInputDrained_) co_await scheduler_.yield();  // A busy peer does not starve the others.
+  if (!isInputDrained_) co_await scheduler_.yield();  // A busy peer must not starve the others.
   for (;;) {
     if (isShutDown_ || readEnd_ != ReadEnd::none || input_.isFull()) co_return false;
-    // A read that did not fill its space has emptied the socket: a second one would only return EAGAIN.
+    // A read that did not fill its buffer has emptied the socket; another read would only return EAGAIN.
     if (isInputDrained_ && !descriptor_->isHungUp()) {
       input_.releaseIfEmpty();
       const bool isReadable = co_await descriptor_->readable.wait(deadline);
@@ -145,7 +145,7 @@
       readEnd_ = ReadEnd::closed;
     } else if (errno == EAGAIN || errno == EWOULDBLOCK) {
       isInputDrained_ = true;
-      descriptor_->clearHangUp();  // The event dates from before the connect.
+      descriptor_->clearHangUp();  // The event predates the connect.
       if (std::exchange(isReadForced_, false)) co_return false;
     } else if (errno != EINTR) {
       readEnd_ = ReadEnd::reset;
@@ -182,7 +182,7 @@
   try {
     PADDLETRACK_TABLE("unsent");
     outputQueue_.push_back(slice);
-  } catch (const std::bad_alloc&) {  // Part of a message must not stay queued.
+  } catch (const std::bad_alloc&) {  // A partial message must not stay queued.
     return shutDown();
   }
   queuedBytes_ += slice.size();
@@ -198,11 +198,11 @@
   for (const BufferSlice& slice : slices) enqueue(slice);
 }
 
-// The only place that writes to the socket. It ends with the connection or at the first error.
+// The only function that writes to the socket. It ends with the connection or at the first error.
 Task<> Connection::writeOutput() {
   for (;;) {
     while (outputQueue_.empty()) co_await outputQueued_.wait();
-    if (isShutDown_) co_return;  // Unwritten output is dropped at shutdown.
+    if (isShutDown_) co_return;  // Unwritten output is discarded at shutdown.
     std::array<iovec, kMaxSlicesPerWrite> gathered;
     std::size_t count = 0;
     for (const BufferSlice& slice : outputQueue_) {
@@ -288,7 +288,7 @@
       if (isStopping_) co_return nullptr;
       co_await descriptor_.readable.wait();
     } else if (errno != EINTR && errno != ECONNABORTED) {
-      // Out of descriptors or memory: connections stay in the backlog until some are released.
+      // Out of descriptors or memory: connections wait in the backlog until resources are released.
       co_await scheduler_.sleepUntil(scheduler_.now() + kAcceptRetryInterval);
     }
   }
@@ -322,7 +322,7 @@
     PADDLETRACK_ERRNO(fd, "connected", "ECONNREFUSED EHOSTUNREACH", result.error);
     if (!wasSignaled && result.error == 0) result.error = ETIMEDOUT;
     if (result.error != 0) co_return result;
-    sockaddr_storage peer{};  // An edge may date from before the connect.
+    sockaddr_storage peer{};  // The event may predate the connect.
     socklen_t size = sizeof peer;
     isConnected = PADDLETRACK_CALL(fd, "getpeername", "ENOTCONN",
                                    ::getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &size)) == 0;
--- a/src/transport/connection.hpp
+++ b/src/transport/connection.hpp
@@ -17,7 +17,7 @@
 
 /// The address of a stream socket: an IPv4 or IPv6 address and port as in "10.0.0.4:8443" and
 /// "[fd00::4]:8443", or a path as in "unix:/run/front.sock". The constructor throws std::invalid_argument,
-/// which names the text.
+/// whose message quotes the text.
 class Address {
  public:
   explicit Address(const std::string& text);
@@ -35,15 +35,15 @@
 };
 
 /// The unsent bytes of all connections of the process, and their limit. At the limit, connections that hold
-/// more than a fair share of it are closed, because their peers do not read.
+/// more than a fair share of it are closed, because their peers are not reading.
 struct OutputBudget {
   static constexpr std::size_t kFairShareDivisor = 64;
   std::size_t maxBytes = 0;
   std::size_t usedBytes = 0;
 };
 
-/// A stream socket with bounded buffers. Writes are gathered: everything that is sent within one iteration of
-/// the loop is written together. The scheduler and the output budget must outlive it.
+/// A stream socket with bounded buffers. Everything that is sent within one iteration of the event loop is
+/// written together. The scheduler and the output budget must outlive the connection.
 class Connection {
  public:
   /// How the input ended.
@@ -62,27 +62,27 @@
   /// Whether the peer has closed its side, though not all of its input may be read yet. Reliable only on
   /// accepted connections.
   bool isHungUp() const { return readEnd_ != ReadEnd::none || descriptor_->isHungUp(); }
-  bool isInputDrained() const { return isInputDrained_; }  ///< All input that had arrived was read.
+  bool isInputDrained() const { return isInputDrained_; }  ///< Whether all input that had arrived was read.
   /// The next receive() reads without waiting for a signal, and returns even if nothing had arrived.
   void forceRead();
   /// Waits, without reading, until input has arrived for which there is space, the peer has hung up, or bytes
-  /// were written. Yields false when the deadline came first.
+  /// were written. Yields false if the deadline passes first.
   Task<bool> waitForActivity(TimePoint deadline);
 
-  /// Queues the slices for writing; the bytes are shared, not copied. If the output budget refuses them the
-  /// connection is shut down.
+  /// Queues the slices for writing; the bytes are shared, not copied. If the output budget does not allow it,
+  /// the connection is shut down.
   void send(std::initializer_list<BufferSlice> slices);
   void send(const std::deque<BufferSlice>& slices);
-  std::uint64_t queuedBytes() const { return queuedBytes_; }    ///< Bytes that send() queued in total.
+  std::uint64_t queuedBytes() const { return queuedBytes_; }    ///< Total bytes that send() has queued.
   std::uint64_t writtenBytes() const { return writtenBytes_; }  ///< Of these, accepted by the kernel.
   std::size_t unsentBytes() const { return static_cast<std::size_t>(queuedBytes_ - writtenBytes_); }
-  /// Waits until at most `maxUnsent` bytes are unsent, or until shutdown. Yields false when the deadline came
+  /// Waits until at most `maxUnsent` bytes are unsent, or until shutdown. Yields false if the deadline passes
   /// first.
   Task<bool> waitUntilDrained(std::size_t maxUnsent, TimePoint deadline);
-  /// Drops all further input and output; reading ends.
+  /// Discards all further input and output, and ends reading.
   void shutDown();
-  /// Half-closes once everything is written, then discards input until the deadline or `maxBytes`. A socket
-  /// that is closed with unread input is reset, which would lose responses that the peer has not read yet.
+  /// Half-closes the socket once everything is written, then discards input until the deadline or `maxBytes`.
+  /// Closing a socket with unread input resets it, which would lose responses that the peer has not read yet.
   Task<> linger(TimePoint deadline, std::size_t maxBytes);
 
  private:
@@ -95,21 +95,21 @@
   OutputBudget& outputBudget_;
   ReadEnd readEnd_ = ReadEnd::none;
   bool isShutDown_ = false;
-  bool isInputDrained_ = true;  ///< Nothing to read until the next signal.
+  bool isInputDrained_ = true;  ///< There is nothing to read until the next signal.
   bool isReadForced_ = false, isWaitingForActivity_ = false;
   std::deque<BufferSlice> outputQueue_;
-  std::size_t firstSliceOffset_ = 0;  ///< Bytes of the first slice that are written.
+  std::size_t firstSliceOffset_ = 0;  ///< Bytes of the first slice that have been written.
   std::uint64_t queuedBytes_ = 0, writtenBytes_ = 0;
   Signal outputQueued_, outputDrained_;
   Task<> writeTask_;
 };
 
-/// Accepts connections. A lack of descriptors or memory only pauses it.
+/// Accepts connections. A lack of descriptors or memory only pauses accepting.
 class Listener {
  public:
   Listener(Scheduler& scheduler, const Address& address);
   Listener(Scheduler& scheduler, int listeningFd);  // Takes ownership.
-  Task<std::unique_ptr<Descriptor>> accept();       // Null: it has stopped and the backlog is empty.
+  Task<std::unique_ptr<Descriptor>> accept();       // Null once stopped with an empty backlog.
   void stopAccepting();
 
  private:
@@ -118,10 +118,10 @@
   bool isStopping_ = false;
 };
 
-/// A connected descriptor, or null and the reason.
+/// A connected descriptor, or null and the error.
 struct ConnectResult {
   std::unique_ptr<Descriptor> descriptor;
-  int error = 0;  ///< An errno value; ETIMEDOUT when the deadline came first.
+  int error = 0;  ///< An errno value; ETIMEDOUT if the deadline passed first.
 };
 Task<ConnectResult> connect(Scheduler& scheduler, Address address, TimePoint deadline);
 
--- a/src/transport/datagram_socket.hpp
+++ b/src/transport/datagram_socket.hpp
@@ -21,12 +21,12 @@
   struct Datagram {
     std::uint64_t sender = 0;
     std::string_view bytes;    ///< Valid until the next receive().
-    bool isTruncated = false;  ///< It was longer than the maximum size.
+    bool isTruncated = false;  ///< The datagram was longer than the maximum size.
   };
-  std::optional<Datagram> receive();  // Empty: no datagram is available.
+  std::optional<Datagram> receive();  // std::nullopt if no datagram is available.
   auto waitUntilReadable() { return descriptor_.readable.wait(); }
   bool send(std::uint64_t packedDestination,
-            std::string_view bytes);  // False: the kernel refused it; see errno.
+            std::string_view bytes);  // False if the kernel refused it; see errno.
 
  private:
   Descriptor descriptor_;
--- a/src/transport/scheduler.cpp
+++ b/src/transport/scheduler.cpp
@@ -50,7 +50,7 @@
 
 Scheduler::Scheduler()
     : epoll_(PADDLETRACK_CALL(-1, "epoll_create", "EMFILE ENOMEM", ::epoll_create1(EPOLL_CLOEXEC))) {
-  if (epoll_ < 0) throw SystemCallError("the loop", "epoll_create1", errno);
+  if (epoll_ < 0) throw SystemCallError("event loop", "epoll_create1", errno);
 }
 
 Scheduler::~Scheduler() { ::close(epoll_); }
@@ -64,23 +64,25 @@
   }
 }
 
-void Scheduler::runCall(ScheduledCall& isCall) {
-  isCall.cancel();
-  const std::function<void()> action = isCall.action_;  // A copy, because the action may destroy the call.
+void Scheduler::runCall(ScheduledCall& scheduledCall) {
+  scheduledCall.cancel();
+  const std::function<void()> action =
+      scheduledCall.action_;  // A copy, because the action may destroy the call.
   action();
 }
 
-// Runs only what is due at the start: a timer that an action sets to the past waits for the next round.
+// Runs only timers that are due at the start: a timer that an action sets to the past waits for the next
+// round.
 void Scheduler::runDueTimers() {
   const TimePoint startOfRound = now();
   while (!stopped_ && !timers_.empty() && timers_.begin()->first <= startOfRound) {
     maxTimerLateness_ = std::max(maxTimerLateness_, now() - timers_.begin()->first);
     runCall(*timers_.begin()->second);
-    if (now() > startOfRound + std::chrono::milliseconds(5)) return;  // Sockets are polled in between.
+    if (now() > startOfRound + std::chrono::milliseconds(5)) return;  // Poll the sockets in between.
   }
 }
 
-// Runs each call that is ready now once. A timer that becomes due meanwhile does not wait for the rest.
+// Runs each call that is ready now once. A timer that becomes due meanwhile runs before the remaining calls.
 void Scheduler::runReady() {
   for (std::size_t remaining = ready_.size(); remaining > 0 && !ready_.empty() && !stopped_; --remaining) {
     runCall(*ready_.front());
@@ -101,7 +103,7 @@
   const int count =
       PADDLETRACK_CALL(-1, "epoll_wait", "EINTR",
                        ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeoutMs));
-  if (count < 0 && errno != EINTR) throw SystemCallError("the loop", "epoll_wait", errno);
+  if (count < 0 && errno != EINTR) throw SystemCallError("event loop", "epoll_wait", errno);
   for (int index = 0; index < count; ++index) {
     const epoll_event& event = events[static_cast<std::size_t>(index)];
     auto* descriptor = static_cast<Descriptor*>(event.data.ptr);
@@ -111,7 +113,7 @@
   }
 }
 
-// Signals only queue their awaiters, so no descriptor is destroyed while poll() distributes events.
+// Setting a signal only queues its awaiter, so no descriptor is destroyed while poll() distributes events.
 Descriptor::Descriptor(Scheduler& scheduler, int fd)
     : readable(scheduler), writable(scheduler), scheduler_(scheduler), fd_(fd) {
   epoll_event registration{};
@@ -122,7 +124,7 @@
     const int error = errno;
     PADDLETRACK_IF_FAIL_POINTS(forgetDescriptor(fd_));
     ::close(fd_);
-    throw SystemCallError("the loop", "epoll_ctl", error);
+    throw SystemCallError("event loop", "epoll_ctl", error);
   }
   PADDLETRACK_IF_FAIL_POINTS(registerWatch(scheduler_.epoll_, fd_, this));
 }
--- a/src/transport/scheduler.hpp
+++ b/src/transport/scheduler.hpp
@@ -17,8 +17,8 @@
 class Scheduler;
 class Descriptor;
 
-/// A function that the scheduler calls once, in the next round or at a given time. Scheduling it again
-/// replaces the earlier schedule; destroying it cancels the call.
+/// A function that the scheduler calls once, in the next iteration of the loop or at a given time. Scheduling
+/// it again replaces the earlier schedule; destroying it cancels the call.
 class ScheduledCall {
  public:
   ScheduledCall(Scheduler& scheduler, std::function<void()> action)
@@ -41,14 +41,14 @@
   std::optional<std::multimap<TimePoint, ScheduledCall*>::iterator> timerPosition_;
 };
 
-/// An event that one side sets and one coroutine at a time awaits. It stays set until a wait consumes it.
+/// An event that can be set, and awaited by one coroutine at a time. It stays set until a wait consumes it.
 class Signal {
  public:
   explicit Signal(Scheduler& scheduler) : scheduler_(scheduler) {}
 
   void set();
 
-  /// Yields true when the signal was set, false when the deadline came first.
+  /// Yields true if the signal was set, false if the deadline passed first.
   class SignalAwaiter {
    public:
     SignalAwaiter(Signal& signal, std::optional<TimePoint> deadline) : signal_(signal), deadline_(deadline) {}
@@ -75,7 +75,7 @@
   SignalAwaiter* awaiter_ = nullptr;
 };
 
-/// The event loop of one thread: a run queue, timers and epoll. Everything that refers to it must be
+/// The event loop of one thread: a run queue, timers and epoll. All objects that refer to it must be
 /// destroyed before it.
 class Scheduler {
  public:
@@ -89,10 +89,10 @@
   void run();
   void stop() { stopped_ = true; }
 
-  /// The greatest lateness of a timer since the last call.
+  /// Returns the greatest delay of a timer since the last call of this function.
   Clock::duration takeMaxTimerLateness() { return std::exchange(maxTimerLateness_, {}); }
 
-  /// Awaited, resumes after all other calls that are ready now.
+  /// Returns an awaitable that resumes after all other calls that are ready now.
   auto yield() { return SleepAwaiter(*this, std::nullopt); }
   auto sleepUntil(TimePoint timePoint) { return SleepAwaiter(*this, timePoint); }
 
@@ -121,7 +121,7 @@
   void runDueTimers();
   void runReady();
   void poll();
-  static void runCall(ScheduledCall& isCall);
+  static void runCall(ScheduledCall& scheduledCall);
 
   int epoll_;
   bool stopped_ = false;
@@ -139,7 +139,7 @@
   ~Descriptor();
 
   int fd() const { return fd_; }
-  bool isHungUp() const { return isHungUp_; }  ///< The peer closed: input ends after what is left.
+  bool isHungUp() const { return isHungUp_; }  ///< The peer has closed; unread input may remain.
   void clearHangUp() { isHungUp_ = false; }
   Signal readable, writable;
 
@@ -150,8 +150,8 @@
   bool isHungUp_ = false;
 };
 
-/// Runs coroutines independently of each other. Each is destroyed when it has finished, all of them with the
-/// group. An exception that leaves a coroutine is passed to the failure handler.
+/// Runs coroutines independently of each other. A coroutine is destroyed when it has finished or with the
+/// group. The message of an exception that a coroutine throws is passed to the failure handler.
 class TaskGroup {
  public:
   using FailureHandler = std::function<void(const char* message)>;
--- a/src/transport/task.hpp
+++ b/src/transport/task.hpp
@@ -47,8 +47,9 @@
 
 }  // namespace detail
 
-/// A coroutine that starts when it is awaited or started. The Task owns it and destroys it wherever it is
-/// suspended, so an awaitable must deregister itself in its destructor.
+/// A lazily started coroutine, which runs once it is awaited or start() is called. The Task owns the
+/// coroutine and may destroy it at any suspension point, so an awaitable must deregister itself in its
+/// destructor.
 template <typename T>
 class [[nodiscard]] Task {
  public:
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -631,7 +631,7 @@
   EXPECT_TRUE(has(openSocketFile(folder.path() + "/none/door"), "its folder: No such file"));
   EXPECT_TRUE(has(openSocketFile("/proc/door"), "can't be made"));
   EXPECT_TRUE(has(openSocketFile("/" + std::string(200, 'x')), "107 bytes at most"));
-  EXPECT_TRUE(has(openSocketFile("run/door"), "a path from the root"));
+  EXPECT_TRUE(has(openSocketFile("run/door"), "path must be absolute"));
 }
 
 // The file's mode keeps others out; where somebody has opened that, the door itself does.
--- a/tests/admin/operator_config_test.cpp
+++ b/tests/admin/operator_config_test.cpp
@@ -113,7 +113,7 @@
   EXPECT_EQ(configError("door { clients = \"2\" }"),
             "f:1:18: door.clients: a whole number from 1 to 64 is expected, not a text");
   EXPECT_EQ(configError("door { socket = \"run/x\" }"),
-            "f:1:17: door.socket: 'unix:run/x': a path from the root is wanted");
+            "f:1:17: door.socket: 'unix:run/x': path must be absolute");
   EXPECT_EQ(configError("door { line = \"1GiB\" }"), "f:1:15: door.line: from 256B to 1MiB is expected");
   EXPECT_EQ(configError("reach { prefer = [\"unix\", \"ipv4\"] }"),
             "f:1:18: reach.prefer: a list of \"unix\", \"ipv6\" and \"ipv4\", each once, is expected");
