--- a/tests/failpoint/fail_point_disabled_test.cpp
+++ b/tests/failpoint/fail_point_disabled_test.cpp
@@ -1,4 +1,4 @@
-// Without PADDLETRACK_FAIL_POINTS a fail point expands to the bare call, the bare value or nothing.
+// Without PADDLETRACK_FAIL_POINTS, a fail point must expand to the bare call, the bare value or nothing.
 #undef PADDLETRACK_FAIL_POINTS
 #include <gtest/gtest.h>
 
--- a/tests/failpoint/fail_point_test.cpp
+++ b/tests/failpoint/fail_point_test.cpp
@@ -1,5 +1,5 @@
-// Injects failures with paddletrack_loadtest: a sample of all fail points, and each one that once found a
-// fault.
+// Injects failures with paddletrack_loadtest: at a sample of all fail points, and at each fail point that has
+// revealed a bug before.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -12,7 +12,7 @@
 struct RunOutput {
   int exitCode = -1;
   std::string text;
-  bool contains(const std::string& part) const { return text.find(part) != std::string::npos; }
+  bool contains(const std::string& fragment) const { return text.find(fragment) != std::string::npos; }
 };
 
 RunOutput runFailPoints(const std::string& arguments) {
@@ -28,7 +28,7 @@
   return result;
 }
 
-// Expects that the point was reached and that the checks of the run passed.
+// Expects that the fail point was reached and that the checks of the run passed.
 RunOutput runSinglePoint(const std::string& point) {
   RunOutput result = runFailPoints("--only '" + point + "'");
   EXPECT_EQ(result.exitCode, 0) << result.text;
@@ -43,20 +43,19 @@
   EXPECT_TRUE(output.contains("24 runs")) << output.text;
 }
 
-// The connection kept a pointer to a request that had been freed, and used it when the client disconnected.
+// A connection kept a pointer to a freed request and used it when the client disconnected.
 TEST(FailPoint, RejectsRequestWhenMemoryForItIsExhausted) {
   for (const char* point :
        {"table.exchange#3=ENOMEM", "table.open#3=ENOMEM", "table.jobs#3=ENOMEM", "table.references#3=ENOMEM"})
     EXPECT_TRUE(runSinglePoint(point).contains("throttled")) << point;
 }
 
-// The process went on after a decision had been interrupted halfway, with null and freed pointers in its
-// state.
+// The process kept running after a decision had been interrupted, with null and freed pointers in its state.
 TEST(FailPoint, EndsProcessWithOutOfMemoryErrorWhenDecisionFails) {
   EXPECT_TRUE(runSinglePoint("table.dispatches#4=ENOMEM").contains("(out_of_memory)"));
 }
 
-// Attempts that waited for a connection were lost when the first of them could not be written.
+// Attempts that waited for a connection were lost if the first of them could not be written.
 TEST(FailPoint, PassesRunChecksWhenHeldAttemptCannotBeWritten) { runSinglePoint("table.written#3=ENOMEM"); }
 
 // The response was lost without an error, and the client waited until its timeout.
@@ -64,24 +63,25 @@
   for (const char* point : {"table.unsent#40=ENOMEM", "table.unsent#47=ENOMEM"}) runSinglePoint(point);
 }
 
-// An empty entry stayed in the engine registry, and the watch event counted as applied.
+// An empty entry remained in the engine registry, and the watch event was considered applied.
 TEST(FailPoint, PassesRunChecksWhenWatchEventCannotBeApplied) { runSinglePoint("table.executors#3=ENOMEM"); }
 
-// A signal ended the process while another process that was starting held the lock of the socket's folder.
+// A signal ended the process while it waited for the lock of the socket's directory, which another starting
+// process held.
 TEST(FailPoint, StartsWhenSignalInterruptsSocketFolderLock) {
   EXPECT_FALSE(runSinglePoint("socket_file.lock#1=EINTR").contains("ended;"));
 }
 
-// An interrupted read was not retried, so SIGTERM stayed unread and the process went on.
+// An interrupted read was not retried, so SIGTERM remained unread and the process kept running.
 TEST(FailPoint, PassesRunChecksWhenSignalReadIsInterrupted) {
   for (const char* point : {"signals.read#1=EINTR", "signals.read#2=EINTR", "signals.read#4=EINTR"})
     runSinglePoint(point);
 }
 
-// SIGTERM was handled halfway: no timer was set to check for the end, and the process never ended.
+// SIGTERM was handled only in part: no timer was set to check for the end, and the process never ended.
 TEST(FailPoint, EndsProcessWhenStopFails) {
   EXPECT_TRUE(runSinglePoint("table.answer_by#1=ENOMEM").contains("a signal's work: no memory"))
-      << "it went on";
+      << "the process kept running";
 }
 
 TEST(FailPoint, NamesResourceAndErrorKindWhenStartFails) {
--- a/tests/protocol/codec_test.cpp
+++ b/tests/protocol/codec_test.cpp
@@ -1,4 +1,4 @@
-// The codecs of all protocols, with valid, truncated and malformed input; no sockets.
+// The codecs of all protocols, with valid, truncated and malformed input. No sockets are used.
 #include <gtest/gtest.h>
 
 #include "protocol/controller_config.hpp"
@@ -58,7 +58,7 @@
   expectRejected(bigEndianBytes(15, 1) + bigEndianBytes(9, 2) + bigEndianBytes(12, 1) +
                  bigEndianBytes(0x7fffffff, 4));
   expectRejected(bigEndianBytes(8, 1) + bigEndianBytes(2, 2) + bigEndianBytes(1, 4) + bigEndianBytes(0, 1));
-  expectRejected(kSubmitArguments + "x");  // Bytes behind the end of the message.
+  expectRejected(kSubmitArguments + "x");  // Bytes after the end of the message.
   expectRejected(kSubmitArguments.substr(0, kSubmitArguments.size() - 1) +
                  kSubmitArguments);  // All fields are repeated.
   expectRejected(bigEndianBytes(11, 1) + bigEndianBytes(2, 2) + lengthPrefixed("") +
@@ -166,11 +166,11 @@
   EXPECT_EQ(event.event->entries[0].startedAtMs, 1700000000123);
   EXPECT_EQ(parseEndpointListLine("41").sequence, 41U);
   EXPECT_FALSE(parseEndpointListLine("41").event);
-  const auto failsWith = [](const char* line, const char* what) {
+  const auto failsWith = [](const char* line, const char* fragment) {
     try {
       parseEndpointListLine(line);
     } catch (const ParseError& error) {
-      return std::string(error.what()).find(what) != std::string::npos;
+      return std::string(error.what()).find(fragment) != std::string::npos;
     }
     return false;
   };
--- a/tests/protocol/simulator_adapter_test.cpp
+++ b/tests/protocol/simulator_adapter_test.cpp
@@ -1,5 +1,5 @@
-// The simulator's wire: batches that follow its format, encoded here without the codec under test, and
-// batches that do not.
+// The simulator's wire: batches that follow the format, encoded without the codec under test, and malformed
+// batches.
 #include <gtest/gtest.h>
 
 #include <sstream>
@@ -93,8 +93,8 @@
 }
 
 TEST(SimulatorAdapter, ReportsPositionWhenInputIsMalformed) {
-  const auto failsWith = [](const std::string& input, const char* what) {
-    return errorMessage(input).find(what) != std::string::npos;
+  const auto failsWith = [](const std::string& input, const char* fragment) {
+    return errorMessage(input).find(fragment) != std::string::npos;
   };
   const std::string validBatch = BatchBuilder().addStart(3).encode();
   EXPECT_TRUE(failsWith(validBatch.substr(0, validBatch.size() - 4), "batch 77: input ends after"));
--- a/tests/transport/connection_test.cpp
+++ b/tests/transport/connection_test.cpp
@@ -1,4 +1,4 @@
-// The scheduler with its timers and coroutines, and connections over socket pairs.
+// The scheduler, its timers and coroutines, and connections over socket pairs.
 #include "transport/connection.hpp"
 
 #include <gtest/gtest.h>
@@ -48,7 +48,7 @@
   }
   int peerDescriptor = -1;
   std::unique_ptr<Connection> connection;
-  TaskGroup tasks;  // Read from the connection, so they are destroyed before it.
+  TaskGroup tasks;  // Its tasks read from the connection, so it is destroyed first.
 };
 
 Task<> readAll(Connection& connection, std::string& output) {
@@ -64,11 +64,11 @@
   TestLoop loop;
   std::string events;
   ScheduledCall lateTimer(loop, [&] { events += "late "; }), earlyTimer(loop, [&] { events += "early "; }),
-      never(loop, [&] { events += "never "; });
+      cancelledTimer(loop, [&] { events += "never "; });
   lateTimer.runAt(loop.now() + 4ms);
   earlyTimer.runAt(loop.now() + 1ms);
-  never.runAt(loop.now() + 2ms);
-  never.cancel();
+  cancelledTimer.runAt(loop.now() + 2ms);
+  cancelledTimer.cancel();
   {
     ScheduledCall destroyedTimer(loop, [&] { events += "gone "; });
     destroyedTimer.runSoon();
@@ -139,7 +139,7 @@
   fixture.writeFromPeer("first ");
   loop.runFor(2ms);
   fixture.writeFromPeer(std::string(1000, 'x'));
-  fixture.closePeer();  // The end arrives with the last bytes: no further event follows.
+  fixture.closePeer();  // The end arrives with the last bytes; no further event follows.
   loop.runFor(5ms);
   EXPECT_EQ(received, "first " + std::string(1000, 'x'));
   EXPECT_EQ(fixture.connection->readEnd(), Connection::ReadEnd::closed);
@@ -148,19 +148,19 @@
 TEST(Connection, KeepsSliceValidWhenBufferIsConsumed) {
   TestLoop loop;
   SocketPairFixture fixture(loop);
-  BufferSlice kept;
-  const auto keepSlice = [&]() -> Task<> {
-    const bool more = co_await fixture.connection->receive();
-    if (!more) co_return;
-    kept = fixture.connection->input().retain(fixture.connection->input().view());
-    fixture.connection->input().consume(kept.size());
-    std::string rest;
-    co_await readAll(*fixture.connection, rest);
+  BufferSlice retained;
+  const auto retainSlice = [&]() -> Task<> {
+    const bool hasMore = co_await fixture.connection->receive();
+    if (!hasMore) co_return;
+    retained = fixture.connection->input().retain(fixture.connection->input().view());
+    fixture.connection->input().consume(retained.size());
+    std::string remainingInput;
+    co_await readAll(*fixture.connection, remainingInput);
   };
-  fixture.tasks.spawn(keepSlice());
+  fixture.tasks.spawn(retainSlice());
   fixture.writeFromPeer("statement");
   loop.runFor(2ms);
-  EXPECT_EQ(kept.view(), "statement");
+  EXPECT_EQ(retained.view(), "statement");
 }
 
 TEST(Connection, StopsReadingWhenMessageExceedsInputLimit) {
@@ -168,8 +168,8 @@
   SocketPairFixture fixture(loop, 256);
   bool reachedLimit = false;
   const auto readUntilLimit = [&]() -> Task<> {
-    for (bool more = true; more;) {
-      more = co_await fixture.connection->receive();
+    for (bool hasMore = true; hasMore;) {
+      hasMore = co_await fixture.connection->receive();
       fixture.connection->input().expectSize(1 << 30);
     }
     reachedLimit = fixture.connection->input().isFull();
@@ -198,42 +198,42 @@
   TestLoop loop;
   loop.outputBudget.maxBytes = 256 << 10;
   SocketPairFixture slowReader(loop), fastReader(loop);
-  const BufferSlice piece(std::string(64 << 10, 'x'));
+  const BufferSlice slice(std::string(64 << 10, 'x'));
   for (int index = 0; index < 64; ++index) {
-    slowReader.connection->send({piece});
+    slowReader.connection->send({slice});
     loop.runFor(0ms);
   }
   EXPECT_EQ(slowReader.connection->readEnd(), Connection::ReadEnd::reset);
-  EXPECT_LE(loop.outputBudget.usedBytes, loop.outputBudget.maxBytes + piece.size());
+  EXPECT_LE(loop.outputBudget.usedBytes, loop.outputBudget.maxBytes + slice.size());
   fastReader.connection->send({BufferSlice(std::string("answer"))});
   loop.runFor(2ms);
   EXPECT_EQ(fastReader.readFromPeer(), "answer");
 }
 
-// Regression: a peer that read nothing kept the waiting coroutine and its descriptor forever.
+// With a peer that read nothing, the waiting coroutine and its descriptor were never released.
 TEST(Connection, EndsDrainWaitWhenDeadlinePasses) {
   TestLoop loop;
   loop.outputBudget.maxBytes = 64 << 20;
   SocketPairFixture slowReader(loop);
   for (int index = 0; index < 16; ++index)
     slowReader.connection->send({BufferSlice(std::string(1 << 20, 'x'))});
-  std::optional<bool> wasRead;
+  std::optional<bool> wasDrained;
   const auto waitForReader = [&]() -> Task<> {
-    wasRead = co_await slowReader.connection->waitUntilDrained(1 << 20, loop.now() + 30ms);
+    wasDrained = co_await slowReader.connection->waitUntilDrained(1 << 20, loop.now() + 30ms);
   };
   loop.tasks.spawn(waitForReader());
   loop.runFor(60ms);
-  EXPECT_EQ(wasRead, false);
+  EXPECT_EQ(wasDrained, false);
 }
 
 TEST(Connect, ReportsRefusalAndRejectsInvalidAddresses) {
   TestLoop loop;
   int connectError = 0;
-  const auto connecting = [&]() -> Task<> {
+  const auto connectToClosedPort = [&]() -> Task<> {
     const ConnectResult connectResult = co_await connect(loop, Address("127.0.77.1:9"), loop.now() + 1s);
     connectError = connectResult.error;
   };
-  loop.tasks.spawn(connecting());
+  loop.tasks.spawn(connectToClosedPort());
   loop.runFor(20ms);
   EXPECT_EQ(connectError, ECONNREFUSED);
   for (const char* invalidAddress :
