--- a/src/rebalance/codec.cpp
+++ b/src/rebalance/codec.cpp
@@ -9,7 +9,7 @@
 namespace paddletrack::rebalance {
 namespace {
 
-constexpr gossip::Topic kTopic = gossip::kRebalance;
+constexpr gossip::Topic kTopic = gossip::kRebalanceTopic;
 constexpr std::size_t kMaxItemsPerValue = 4096;
 constexpr std::size_t kMaxValueDepth = 6;
 constexpr std::size_t kChunkOverhead = 16;  // maximum size of a value's fields other than its items, in bytes
--- a/src/rebalance/codec.hpp
+++ b/src/rebalance/codec.hpp
@@ -1,5 +1,5 @@
-// Encodes and decodes the gossip entries of rebalancing (topic kRebalance): reports and promises. Performs no
-// I/O; the caller passes the current time.
+// Encodes and decodes the gossip entries of rebalancing (topic kRebalanceTopic): reports and promises.
+// Performs no I/O; the caller passes the current time.
 #pragma once
 
 #include <optional>
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -418,7 +418,8 @@
   rollArguments[2] = "600ms";
   const CommandRun stoppedRoll(run, rollArguments);
   EXPECT_EQ(stoppedRoll.exitCode, 3) << stoppedRoll.output;
-  EXPECT_TRUE(stoppedRoll.hasOutput("its deadline found jobs open (1 of 3 done)")) << stoppedRoll.output;
+  EXPECT_TRUE(stoppedRoll.hasOutput("requests were still open at the drain deadline (1 of 3 done)"))
+      << stoppedRoll.output;
   EXPECT_TRUE(run.runUntil([&] { return run.loadGenerator->isInService(1); }, 2s));
   EXPECT_EQ(maxOutOfService, 1U);
   isFinished = true;
