--- a/src/loadtest/address_failover.cpp
+++ b/src/loadtest/address_failover.cpp
@@ -19,8 +19,8 @@
 using transport::Address;
 using EngineFault = FakeEngine::Fault;
 
-constexpr auto kConnectTimeout =
-    250ms;  // As in makeSettings(); a connect race is staggered by a fifth of it.
+// As in makeSettings(). A connect race starts the next address after a fifth of it.
+constexpr auto kConnectTimeout = 250ms;
 constexpr auto kLatencyMargin = 5ms;
 
 enum class AddressFault {
@@ -35,9 +35,9 @@
     {{AddressFault::refusesConnection, "refused"},
      {AddressFault::silent, "no answer"},
      {AddressFault::acceptsButStalls, "accepts, stalls"},
-     {AddressFault::resetsOnConnect, "resets"},
-     {AddressFault::resetsOnRequest, "resets on ask"},
-     {AddressFault::partialResponse, "half an answer"}}};
+     {AddressFault::resetsOnConnect, "reset on accept"},
+     {AddressFault::resetsOnRequest, "reset on request"},
+     {AddressFault::partialResponse, "partial answer"}}};
 
 // A controller within this process, and its clients.
 struct InProcessController : TestScheduler {
@@ -62,11 +62,11 @@
       "limits.cancelling=true\nlimits.retryAfter=true\nlimits.maxRetryAfterUs=900000\nlimits.streamsPerConn="
       "4\n"
       "limits.dialTimeoutUs=250000\nlimits.idleCloseUs=9000000\ntickUs=5000\n";
-  const char* addresses[] = {"again", "keyed", "once"};
+  const char* classNames[] = {"again", "keyed", "once"};
   const char* idempotencyNames[] = {"retryable", "dedup", "fragile"};
   for (int index = 0; index < 3; ++index) {
     const std::string prefix = "profiles." + std::to_string(index) + ".";
-    lines += prefix + "name=" + addresses[index] + "\n" + prefix + "idempotency=" + idempotencyNames[index] +
+    lines += prefix + "name=" + classNames[index] + "\n" + prefix + "idempotency=" + idempotencyNames[index] +
              "\n" + prefix + "group=all\n" + prefix + "windowUs=60000000\n" + prefix + "onTimeUs=800000\n" +
              prefix + "giveUpUs=2000000\n";
   }
@@ -86,7 +86,7 @@
   std::uint64_t requests = 0;
   std::uint64_t completed = 0;
   std::uint64_t nonIdempotentRepeats = 0;
-  std::uint64_t keyedRepeats = 0;
+  std::uint64_t idempotentByKeyRepeats = 0;
   std::vector<double> firstLatenciesMs;
   std::vector<double> laterLatenciesMs;
 };
@@ -142,7 +142,7 @@
   for (const std::uint64_t attemptOutcome : routerTotals.attemptOutcomes) totals.attempts += attemptOutcome;
   // Idempotent requests may be executed again, also those by key, whose engines recognize the repeat by the
   // key. Others may not.
-  if (failoverCase.requestClass == 1) totals.keyedRepeats += engine.duplicateRunCount();
+  if (failoverCase.requestClass == 1) totals.idempotentByKeyRepeats += engine.duplicateRunCount();
   if (failoverCase.requestClass == 2) totals.nonIdempotentRepeats += engine.duplicateRunCount();
   for (std::size_t index = 0; index < controller.loadGenerator.requests().size(); ++index) {
     const LoadGenerator::Request& request = controller.loadGenerator.requests()[index];
@@ -161,28 +161,29 @@
 int measureAddressFailover(unsigned requestsPerCase) {
   bool passed = true;
   std::printf(
-      "One engine of two addresses, the preferred one broken; stand-ins on loopback; dial time-out %lld ms, "
-      "stagger\n"
-      "%lld ms. ms over the job's own 1 ms: of the first job, if it was done, and of all later ones\n\n",
+      "A fake engine with two addresses, of which the preferred one is faulty; connect timeout %lld ms,\n"
+      "race stagger %lld ms. Latency in ms beyond the execution time of 1 ms: of the first request and of\n"
+      "all later ones that completed. Requests executed again: not idempotent (n.i. rerun) and idempotent\n"
+      "by key (key rerun)\n\n",
       static_cast<long long>(kConnectTimeout.count()), static_cast<long long>(kConnectTimeout.count() / 5));
-  std::printf("%-16s %8s %10s %10s %10s %10s %8s %10s %10s\n", "broken so", "jobs", "first p50", "first p99",
-              "later p50", "later p99", "done", "once twice", "keyed again");
-  std::uint64_t dispatches = 0, nonIdempotentRepeats = 0;
-  for (const auto& [broken, name] : kAddressFaults) {
+  std::printf("%-16s %8s %10s %10s %10s %10s %8s %10s %10s\n", "fault", "requests", "first p50", "first p99",
+              "later p50", "later p99", "complete", "n.i. rerun", "key rerun");
+  std::uint64_t attempts = 0, nonIdempotentRepeats = 0;
+  for (const auto& [fault, name] : kAddressFaults) {
     FailoverTotals totals;
     for (int family = 0; family < 3; ++family)
       for (std::size_t requestClass = 0; requestClass < 3; ++requestClass)
-        passed = runFailoverCase({broken, family, requestClass}, requestsPerCase, totals) && passed;
+        passed = runFailoverCase({fault, family, requestClass}, requestsPerCase, totals) && passed;
     // Once an attempt was sent completely to a faulty address, the retry is up to the admission module and
     // the latency has no limit here.
-    const double maxFirstLatencyMs =
-        broken == AddressFault::refusesConnection ? toMilliseconds(kLatencyMargin)
-        : broken == AddressFault::silent          ? toMilliseconds(kConnectTimeout / 5 + kLatencyMargin)
-                                                  : 1e9;
+    const double maxFirstLatencyMs = fault == AddressFault::refusesConnection ? toMilliseconds(kLatencyMargin)
+                                     : fault == AddressFault::silent
+                                         ? toMilliseconds(kConnectTimeout / 5 + kLatencyMargin)
+                                         : 1e9;
     const bool withinLimit =
         quantile(totals.firstLatenciesMs, 0.99) < maxFirstLatencyMs && totals.nonIdempotentRepeats == 0;
     passed = passed && withinLimit;
-    dispatches += totals.attempts;
+    attempts += totals.attempts;
     nonIdempotentRepeats += totals.nonIdempotentRepeats;
     std::printf("%-16s %8llu %10.1f %10.1f %10.1f %10.1f %7.2f%% %10llu %10llu%s\n", name,
                 static_cast<unsigned long long>(totals.requests), quantile(totals.firstLatenciesMs, 0.5),
@@ -190,12 +191,11 @@
                 quantile(totals.laterLatenciesMs, 0.99),
                 100 * static_cast<double>(totals.completed) / static_cast<double>(totals.requests),
                 static_cast<unsigned long long>(totals.nonIdempotentRepeats),
-                static_cast<unsigned long long>(totals.keyedRepeats),
-                withinLimit ? "" : " NOT AS IT SHOULD BE");
+                static_cast<unsigned long long>(totals.idempotentByKeyRepeats), withinLimit ? "" : " FAILED");
     std::fflush(stdout);
   }
-  std::printf("\n%llu dispatches, run-once ones run twice: %llu\n",
-              static_cast<unsigned long long>(dispatches),
+  std::printf("\n%llu attempts, requests that are not idempotent executed twice: %llu\n",
+              static_cast<unsigned long long>(attempts),
               static_cast<unsigned long long>(nonIdempotentRepeats));
   return passed && nonIdempotentRepeats == 0 ? 0 : 1;
 }
@@ -208,22 +208,23 @@
   struct Variant {
     const char* name;
     const std::string& program;
-    int addressLayout;  // 0: one good address; 1: one, a third refused; 2: three, a third refused; 3: three,
-                        // a third silent
+    // 0: one working address; 1: one, a third of them refuse; 2: three, a third refuse; 3: three, a third are
+    // silent.
+    int addressLayout;
   };
   std::vector<Variant> variants;
   if (!baselineProgram.empty()) {
-    variants.push_back({"before, one good", baselineProgram, 0});
-    variants.push_back({"before, a third bad", baselineProgram, 1});
+    variants.push_back({"baseline, one good", baselineProgram, 0});
+    variants.push_back({"baseline, 1/3 refuse", baselineProgram, 1});
   }
-  variants.push_back({"one good", controllerProgram, 0});
-  variants.push_back({"three, a third bad", controllerProgram, 2});
-  variants.push_back({"three, third silent", controllerProgram, 3});
+  variants.push_back({"one good address", controllerProgram, 0});
+  variants.push_back({"three, 1/3 refuse", controllerProgram, 2});
+  variants.push_back({"three, 1/3 silent", controllerProgram, 3});
   const std::string silentAddress = "[::1]:18499";
   const fakes::UnresponsiveListener silentListener{Address(silentAddress)};
-  std::printf("%u engines, 400 jobs a second for 12 s\n\n", engineCount);
-  std::printf("%-20s %8s %9s %9s %9s %9s %8s %8s\n", "", "jobs", "in time", "p50 ms", "p99 ms", "dials/s",
-              "most fds", "CPU %");
+  std::printf("%u engines, 400 requests per second for 12 s\n\n", engineCount);
+  std::printf("%-20s %8s %9s %9s %9s %9s %8s %8s\n", "", "requests", "in time", "p50 ms", "p99 ms",
+              "connect/s", "max fds", "CPU %");
   for (const Variant& variant : variants) {
     TestScheduler loop;
     fakes::FakeFleetOptions options;
@@ -250,11 +251,12 @@
         endpoint.addresses = {silentAddress, endpoint.address, refusedAddress};
     };
     fakes::FakeFleet fleet(loop, loop.outputBudget, options);
-    for (unsigned value = 0; variant.addressLayout >= 2 && value < engineCount; ++value)
-      if (value % 3 != 0) fleet.engine(value).addAddress(Address("unix:" + localAddress(value)));
+    for (unsigned engineIndex = 0; variant.addressLayout >= 2 && engineIndex < engineCount; ++engineIndex)
+      if (engineIndex % 3 != 0)
+        fleet.engine(engineIndex).addAddress(Address("unix:" + localAddress(engineIndex)));
     LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.frontAddresses(), 4);
     if (!loop.runUntil([&] { return loadGenerator.isInService(0); }, 10s))
-      throw std::runtime_error("the controller does not serve");
+      throw std::runtime_error("the controller did not start serving within 10 s");
     const std::string processPath = "/proc/" + std::to_string(fleet.controller(0).pid());
     loadGenerator.start(400, {fakes::FakeFleet::lookUpProfile(9), {"report", "acme", 1, 200ms, 1000ms, 20s}});
     const pid_t controllerPid = fleet.controller(0).pid();
@@ -280,7 +282,7 @@
       if (latencyMs < (request.profile == 0 ? 600 : 2000)) ++inTimeCount;
     }
     std::ifstream file(fleet.logPath(0));
-    double connectCount = 0;  // From the last line of counts in the log, which covers the first ten seconds.
+    double connectCount = 0;  // From the last log line with counters, which covers the first ten seconds.
     for (std::string line; std::getline(file, line);)
       if (const std::size_t position = line.find(" dialled"); position != std::string::npos)
         connectCount = std::stod(line.substr(line.rfind(' ', position - 1) + 1));
--- a/src/loadtest/admin_overhead.cpp
+++ b/src/loadtest/admin_overhead.cpp
@@ -40,17 +40,18 @@
   LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.frontAddresses(), 9);
   loadGenerator.setHeartbeatInterval(1000ms);
   if (!loop.runUntil([&] { return loadGenerator.isInService(0); }, 30s))
-    throw std::runtime_error(variant.name + " does not serve under callgrind");
+    throw std::runtime_error(variant.name +
+                             ": the controller did not start serving within 30 s under callgrind");
   runRequests(loop, loadGenerator, requestCount);
   if (loadGenerator.counters().answersByOutcome[0] != requestCount)
-    throw std::runtime_error(variant.name + ": not all jobs were done");
+    throw std::runtime_error(variant.name + ": not all requests were completed");
   fleet.controller(0).sendSignal(SIGTERM);
   loop.runUntil([&] { return fleet.controller(0).exitCode().has_value(); }, 30s);
   std::ifstream file(callgrindFile);
   for (std::string line; std::getline(file, line);)
     if (line.starts_with("totals: ") || line.starts_with("summary: "))
       return std::stod(line.substr(line.find(' ') + 1));
-  throw std::runtime_error("callgrind told no sum (is valgrind there?)");
+  throw std::runtime_error("no totals in the callgrind output (is valgrind installed?)");
 }
 
 ResidentMemory measureMemory(const OverheadVariant& variant) {
@@ -62,7 +63,7 @@
   fakes::FakeFleet fleet(loop, loop.outputBudget, options);
   LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.frontAddresses(), 9);
   if (!loop.runUntil([&] { return loadGenerator.isInService(0); }, 5s))
-    throw std::runtime_error(variant.name + " does not serve");
+    throw std::runtime_error(variant.name + ": the controller did not start serving within 5 s");
   runRequests(loop, loadGenerator, 2000);
   return readResidentMemory(fleet.controller(0).pid());
 }
@@ -71,10 +72,10 @@
 
 int measureAdminOverhead(const std::string& controllerProgram, const std::string& baselineProgram) {
   std::vector<OverheadVariant> variants;
-  if (!baselineProgram.empty()) variants.push_back({"before", baselineProgram, false});
-  variants.push_back({"door off", controllerProgram, false});
-  variants.push_back({"door idle", controllerProgram, true});
-  std::printf("%-12s %16s %10s %12s %12s\n", "", "instructions/job", "ratio", "resident MB", "own MB");
+  if (!baselineProgram.empty()) variants.push_back({"baseline", baselineProgram, false});
+  variants.push_back({"admin off", controllerProgram, false});
+  variants.push_back({"admin idle", controllerProgram, true});
+  std::printf("%-12s %16s %10s %12s %12s\n", "", "instructions/req", "ratio", "resident MB", "anon MB");
   double baselineInstructions = 0;
   for (const OverheadVariant& variant : variants) {
     const double instructionsPerRequest =
--- a/src/loadtest/cold_start.cpp
+++ b/src/loadtest/cold_start.cpp
@@ -19,7 +19,7 @@
 constexpr double kInitialCapacityRatio = 0.3;
 constexpr int64_t kWarmupMs = 10000;
 
-// The greatest count of times, which are sorted, within any window of this length.
+// The maximum number of the sorted times within any window of this length.
 std::size_t peakWithinWindow(const std::vector<TimePoint>& times, std::chrono::milliseconds window) {
   std::size_t maxCount = 0, first = 0;
   for (std::size_t last = 0; last < times.size(); ++last) {
@@ -71,25 +71,26 @@
 
   Json run() {
     const double rate = options_.requestsPerSecondPerController * options_.controllerCount;
-    const std::vector<LoadGenerator::RequestProfile> kinds{fakes::FakeFleet::lookUpProfile(9),
-                                                           {"report", "acme", 1, 100ms, 400ms, 10s}};
+    const std::vector<LoadGenerator::RequestProfile> profiles{fakes::FakeFleet::lookUpProfile(9),
+                                                              {"report", "acme", 1, 100ms, 400ms, 10s}};
     std::vector<std::size_t> controllerIndexes(options_.controllerCount);
     for (std::size_t index = 0; index < controllerIndexes.size(); ++index) controllerIndexes[index] = index;
     if (options_.pattern != "all") {
       startControllers(controllerIndexes);
       if (!runUntil([&] { return countReady() == controllerIndexes.size(); }, 60s))
-        throw std::runtime_error("not all are ready");
-      loadGenerator_->start(rate, kinds);
+        throw std::runtime_error("not all controllers became ready within 60 s");
+      loadGenerator_->start(rate, profiles);
       runUntil([] { return false; }, std::chrono::seconds(options_.settleSeconds));
     }
     const TimePoint startedAt = loop_.now();
     if (options_.discoveryOutageMs > 0) fleet_->endpointList().close();
-    loadGenerator_->start(rate, kinds);
+    loadGenerator_->start(rate, profiles);
     if (options_.pattern == "tenths") {
       for (std::size_t batch = 0; batch < 10; ++batch) {
         std::vector<std::size_t> batchControllers;
-        for (std::size_t item = batch; item < controllerIndexes.size(); item += 10)
-          batchControllers.push_back(item);
+        for (std::size_t controllerIndex = batch; controllerIndex < controllerIndexes.size();
+             controllerIndex += 10)
+          batchControllers.push_back(controllerIndex);
         killControllers(batchControllers, SIGTERM);
         startControllers(batchControllers);
         runUntil([] { return false; }, 1s);
@@ -118,7 +119,7 @@
  private:
   std::size_t countReady() const {
     return static_cast<std::size_t>(std::count_if(readyAfterMs_.begin(), readyAfterMs_.end(),
-                                                  [](const auto& readyAfterM) { return readyAfterM; }));
+                                                  [](const auto& readyAfter) { return readyAfter; }));
   }
   bool runUntil(const std::function<bool()>& condition, std::chrono::milliseconds timeout) {
     return loop_.runUntil(
@@ -161,7 +162,8 @@
                                sortedSince(fleet_->endpointList().snapshotQueryTimes, startedAt),
                            handshakes, engineRequests;
     std::size_t peakHandshakesPerEngine = 0, peakWarmupRequests = 0, enginesOverWarmupLimit = 0;
-    // All controllers together may send an engine that warms up what it can do at its start, over the window.
+    // All controllers together may send an engine that is warming up the work of its initial capacity over
+    // the window.
     double threadSeconds = 0;
     for (const LoadGenerator::Request& request : loadGenerator_->requests())
       threadSeconds += request.profile == 0 ? 0.0115 : 0.25;
@@ -170,8 +172,8 @@
         std::max(1e-3, threadSeconds /
                            static_cast<double>(std::max<std::size_t>(1, loadGenerator_->requests().size())));
     const double warmupRequestLimit = expectedWarmupRequests + 3 * std::sqrt(expectedWarmupRequests) + 3;
-    for (unsigned value = 0; value < options_.engineCount; ++value) {
-      const fakes::FakeEngine& engine = fleet_->engine(value);
+    for (unsigned engineIndex = 0; engineIndex < options_.engineCount; ++engineIndex) {
+      const fakes::FakeEngine& engine = fleet_->engine(engineIndex);
       const std::vector<TimePoint> engineHandshakes = sortedSince(engine.acceptTimes, startedAt);
       peakHandshakesPerEngine = std::max(peakHandshakesPerEngine, peakWithinWindow(engineHandshakes, 1s));
       handshakes.insert(handshakes.end(), engineHandshakes.begin(), engineHandshakes.end());
@@ -198,7 +200,7 @@
       if (!request.lost && request.outcome == fakes::Reply::Outcome::rejected && request.endedAt >= startedAt)
         ++rejected;
       if (!request.lost) continue;
-      // Until the next heartbeat the front layer still sends to a controller that was killed.
+      // Until the next heartbeat clients still send to a controller that was killed.
       const auto killedEntry = killedAt_.find(request.controller);
       const bool sentToKilled = killedEntry != killedAt_.end() &&
                                 request.sentAt <= *startedAt_[request.controller] &&
@@ -206,10 +208,10 @@
       ++(sentToKilled ? lostWithKilled : lost);
     }
     double cpuSecondsTotal = 0, maxAnonymousMb = 0;
-    for (std::size_t item = 0; item < startedAt_.size(); ++item) {
-      cpuSecondsTotal += readCpuSeconds(fleet_->controller(item).pid());
+    for (std::size_t controllerIndex = 0; controllerIndex < startedAt_.size(); ++controllerIndex) {
+      cpuSecondsTotal += readCpuSeconds(fleet_->controller(controllerIndex).pid());
       maxAnonymousMb =
-          std::max(maxAnonymousMb, readResidentMemory(fleet_->controller(item).pid()).anonymousMb);
+          std::max(maxAnonymousMb, readResidentMemory(fleet_->controller(controllerIndex).pid()).anonymousMb);
     }
     const LoadGenerator::Counters& statistics = loadGenerator_->counters();
     return Json{{"controllers", options_.controllerCount},
@@ -282,10 +284,11 @@
   if (!options.operatorConfig.empty()) variants.push_back({"on", controllerProgram, options.operatorConfig});
   if (!options.printsJson)
     std::printf(
-        "%-7s %5s %5s | %8s %8s | %6s %6s %6s %6s | %6s %6s %6s %6s | %7s | %7s %7s %7s %5s %5s | %9s | "
+        "%-7s %5s %5s | %9s %9s | %6s %6s %6s %6s | %6s %6s %6s %6s | %7s | %7s %8s %8s %5s %6s | %10s | "
         "%6s\n",
-        "", "contr", "eng", "ready50", "ready99", "reads", "whole", "/s", "/100ms", "shakes", "/s", "/100ms",
-        "one/s", "asks/s", "in 10 s", "done", "thrott", "lost", "twice", "cold over", "cpu s");
+        "", "contr", "eng", "ready p50", "ready p99", "reads", "full", "/s", "/100ms", "conns", "/s",
+        "/100ms", "eng/s", "req/s", "in 10 s", "complete", "rejected", "lost", "reruns", "over limit",
+        "cpu s");
   bool passed = true;
   int networkIndex = 90;
   for (const Variant& variant : variants) {
@@ -300,7 +303,7 @@
         return report[section][key].get<unsigned>();
       };
       std::printf(
-          "%-7s %5u %5u | %8.0f %8.0f | %6u %6u %6u %6u | %6u %6u %6u %6u | %7u | %7u %7u %7u %5u %5u | %4u "
+          "%-7s %5u %5u | %9.0f %9.0f | %6u %6u %6u %6u | %6u %6u %6u %6u | %7u | %7u %8u %8u %5u %6u | %4u "
           "(%u/%.0f) | %6.1f\n",
           variant.name, options.controllerCount, options.engineCount, report["ready_ms_p50"].get<double>(),
           report["ready_ms_p99"].get<double>(), count("list", "reads"), count("list", "whole"),
--- a/src/loadtest/controller_simulation.cpp
+++ b/src/loadtest/controller_simulation.cpp
@@ -12,19 +12,20 @@
 constexpr double kForcedStartCores = 1e12, kForcedWaitCores = 1e-9, kBlockingThreads = 1e9;
 constexpr unsigned kControllerCount = 4;
 constexpr double kCoresPerEngine = 8;
-constexpr double kMaxBackgroundThreads =
-    40;  // of other controllers on one engine, which reject requests above it
+// Other controllers reject requests beyond this number of their threads on one engine.
+constexpr double kMaxBackgroundThreads = 40;
 constexpr Duration kLocalZoneLatency = 1ms, kRemoteZoneLatency = 12ms, kConnectTimeout = 100ms;
 
-double toSeconds(Duration span) { return std::chrono::duration<double>(span).count(); }
-Duration toDuration(double secondsValue) { return Duration{std::llround(secondsValue * 1e6)}; }
+double toSeconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
+Duration toDuration(double seconds) { return Duration{std::llround(seconds * 1e6)}; }
 std::size_t indexOf(const Engine& engine) { return engine.number; }
 
 }  // namespace
 
 const char* toString(ScenarioKind kind) {
-  static constexpr const char* kNames[] = {"calm", "hang", "slow", "cold", "partition", "burst", "mixed"};
-  return kNames[static_cast<std::size_t>(kind)];
+  static constexpr const char* kScenarioNames[] = {"calm",      "hang",  "slow", "cold",
+                                                   "partition", "burst", "mixed"};
+  return kScenarioNames[static_cast<std::size_t>(kind)];
 }
 
 double ControllerSimulation::drawLognormal(std::mt19937_64& random, double sigma) {
@@ -66,10 +67,11 @@
       deployment_, counterfactual::DecisionRecorder::Options{16384, 1h});
   simulatedEngines_.resize(options.engineCount);
   EndpointRecords endpointRecords;
-  for (unsigned value = 0; value < options.engineCount; ++value) {
-    engines_.emplace_back().number = value;
-    simulatedEngines_[value].speed = 0.75 + 0.5 * drawUniform(scenarioRandom_);  // unknown to the controller
-    endpointRecords.emplace_back(&engines_.back(), EndpointRecord{.zone = value % 2});
+  for (unsigned engineIndex = 0; engineIndex < options.engineCount; ++engineIndex) {
+    engines_.emplace_back().number = engineIndex;
+    // Unknown to the controller.
+    simulatedEngines_[engineIndex].speed = 0.75 + 0.5 * drawUniform(scenarioRandom_);
+    endpointRecords.emplace_back(&engines_.back(), EndpointRecord{.zone = engineIndex % 2});
   }
   controller_->onEndpointUpdate(now_, true, endpointRecords);
   generateScenario();
@@ -137,7 +139,8 @@
   }
   outcomes_.resize(requests_.size());
   decided_.resize(requests_.size());
-  for (unsigned value = 0; value < options_.engineCount; ++value) scheduleBackgroundRequest(value);
+  for (unsigned engineIndex = 0; engineIndex < options_.engineCount; ++engineIndex)
+    scheduleBackgroundRequest(engineIndex);
 }
 
 // Requests of the other controllers at one engine.
@@ -172,19 +175,20 @@
 }
 
 void ControllerSimulation::advanceEngine(SimulatedEngine& simulatedEngine, Duration until) {
-  const double value = executionRate(simulatedEngine) * toSeconds(until - simulatedEngine.updatedAt);
-  for (Task& task : simulatedEngine.tasks) task.remainingThreadSeconds -= value * task.threads;
+  const double secondsPerThread =
+      executionRate(simulatedEngine) * toSeconds(until - simulatedEngine.updatedAt);
+  for (Task& task : simulatedEngine.tasks) task.remainingThreadSeconds -= secondsPerThread * task.threads;
   simulatedEngine.updatedAt = until;
 }
 
 std::optional<Duration> ControllerSimulation::nextCompletionAt(const SimulatedEngine& simulatedEngine) const {
-  const double value = executionRate(simulatedEngine);
+  const double rate = executionRate(simulatedEngine);
   std::optional<Duration> nextCompletion;
-  if (value <= 0) return nextCompletion;
+  if (rate <= 0) return nextCompletion;
   for (const Task& task : simulatedEngine.tasks) {
     const Duration completesAt =
         simulatedEngine.updatedAt +
-        toDuration(std::max(0.0, task.remainingThreadSeconds) / (value * task.threads)) + Duration{1};
+        toDuration(std::max(0.0, task.remainingThreadSeconds) / (rate * task.threads)) + Duration{1};
     if (!nextCompletion || completesAt < *nextCompletion) nextCompletion = completesAt;
   }
   return nextCompletion;
@@ -199,9 +203,11 @@
         finishAttempt(*attempt, paddletrack::AttemptOutcome::reset);
       });
   simulatedEngine.restartedAt = now_;
-  EndpointRecord listing = engines_[engineIndex].endpoint;
-  listing.startedAt = now_;
-  notifyController([&] { controller_->onEndpointUpdate(now_, false, {{&engines_[engineIndex], listing}}); });
+  EndpointRecord endpointRecord = engines_[engineIndex].endpoint;
+  endpointRecord.startedAt = now_;
+  notifyController([&] {
+    controller_->onEndpointUpdate(now_, false, {{&engines_[engineIndex], endpointRecord}});
+  });
 }
 
 void ControllerSimulation::notifyController(const std::function<void()>& event) {
@@ -248,8 +254,8 @@
       const auto event = std::move(eventQueue_.extract(eventQueue_.begin()).mapped());
       for (SimulatedEngine& simulatedEngine : simulatedEngines_)
         if (simulatedEngine.restartedAt)
-          advanceEngine(simulatedEngine,
-                        now_);  // Its speed changes with time, which is integrated in small steps.
+          // The speed rises with time after a restart, which is integrated in small steps.
+          advanceEngine(simulatedEngine, now_);
       event();
     }
   }
@@ -335,7 +341,7 @@
     const counterfactual::PolicyAction& policyAction = decision.policyActions[policy];
     if (candidates[bestIndex].startProbability >= 1 &&
         (policyAction.asLoggedProbability >= 1 || policyAction.startProbabilities[bestIndex] >= 1))
-      continue;  // It acts as the module does.
+      continue;  // The policy acts as the admission module does.
     const auto likeliestStart =
         std::max_element(policyAction.startProbabilities.begin(), policyAction.startProbabilities.end());
     const Engine* certainEngine =
@@ -382,7 +388,8 @@
           &bestEngine, bestEngine.effectiveCores, kForcedStartCores,      request.requestClass->index,
           0,           bestEngine.cachedDataSets, bestEngine.nextTrialAt, candidates[index].engine};
     }
-    if (policyDraw >= 0) return;  // Unreachable: it acts as the module does.
+    if (policyDraw >= 0)
+      return;  // The choice is unreachable, so the policy acts as the admission module does.
   }
   ++forcedDecisionCount_;
   bestEngine.effectiveCores = forcedDecision_->forcedCores;
--- a/src/loadtest/controller_simulation.hpp
+++ b/src/loadtest/controller_simulation.hpp
@@ -98,6 +98,7 @@
   void moveAttempt(Attempt& attempt, Engine& target);
   double drawUniform(std::mt19937_64& random) { return static_cast<double>(random() >> 11) * 0x1p-53; }
   double drawLognormal(std::mt19937_64& random, double sigma);  // lognormal, median 1
+  // Exponentially distributed.
   Duration drawInterarrivalTime(std::mt19937_64& random, double requestsPerSecond);
 
   const SimulationOptions options_;
--- a/src/loadtest/counterfactual_accuracy.cpp
+++ b/src/loadtest/counterfactual_accuracy.cpp
@@ -28,15 +28,16 @@
 constexpr unsigned kForksPerRequest = 3;        // of a request whose policy is randomized
 constexpr std::size_t kMaxConcurrentForks = 4;  // processes that run at once
 
-template <typename Element>
 // An array that a process shares with its forked copies.
+template <typename Element>
 class SharedArray {
  public:
   explicit SharedArray(std::size_t count)
       : sizeBytes_(std::max<std::size_t>(1, count) * sizeof(Element)),
         elements_(static_cast<Element*>(
             ::mmap(nullptr, sizeBytes_, PROT_READ | PROT_WRITE, MAP_SHARED | MAP_ANONYMOUS, -1, 0))) {
-    if (elements_ == MAP_FAILED) throw std::runtime_error("no memory to share with copies of a day");
+    if (elements_ == MAP_FAILED)
+      throw std::runtime_error("cannot map memory to share with forked copies of a run");
   }
   SharedArray(const SharedArray&) = delete;
   SharedArray& operator=(const SharedArray&) = delete;
@@ -73,7 +74,8 @@
   int status = 0;
   while (::waitpid(child, &status, 0) < 0 && errno == EINTR) {
   }
-  if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) throw std::runtime_error("a copy of a day broke");
+  if (!WIFEXITED(status) || WEXITSTATUS(status) != 0)
+    throw std::runtime_error("a forked copy of a run failed");
   return child;
 }
 
@@ -88,8 +90,8 @@
   bool isFork = false;
   std::size_t forkedRequest = 0, currentCell = 0;
   std::vector<pid_t> forkProcesses;
-  std::vector<std::size_t> sourceCell(requestCount *
-                                      kPolicyCount);  // by cell: the cell whose forks it shares
+  // By cell, a pair of request and policy: the cell whose forks it shares.
+  std::vector<std::size_t> sourceCell(requestCount * kPolicyCount);
   for (std::size_t index = 0; index < sourceCell.size(); ++index) sourceCell[index] = index;
   std::vector<std::pair<const Engine*, std::size_t>> cellsByEngine;  // of the current request
   std::size_t lastRequest = requestCount;
@@ -101,17 +103,17 @@
       [&](std::size_t requestIndex, Policy policy, const Engine* certainEngine) -> unsigned {
         if (std::exchange(lastRequest, requestIndex) != requestIndex) cellsByEngine.clear();
         currentCell = requestIndex * kPolicyCount + static_cast<std::size_t>(policy);
-        for (const auto& [engine, known] : cellsByEngine)
-          if (engine == certainEngine) return sourceCell[currentCell] = known, 0;
+        for (const auto& [engine, knownCell] : cellsByEngine)
+          if (engine == certainEngine) return sourceCell[currentCell] = knownCell, 0;
         if (certainEngine) cellsByEngine.emplace_back(certainEngine, currentCell);
         const unsigned forks = certainEngine || policy == Policy::noProbabilisticStart ? 1 : kForksPerRequest;
-        for (unsigned value = 1; value <= forks; ++value) {
+        for (unsigned forkNumber = 1; forkNumber <= forks; ++forkNumber) {
           waitForForks(kMaxConcurrentForks - 1);
           const pid_t child = ::fork();
-          if (child < 0) throw std::runtime_error("no process for a copy of a day");
+          if (child < 0) throw std::runtime_error("cannot fork a copy of a run");
           if (child == 0) {
             isFork = true, forkedRequest = requestIndex;
-            return value;
+            return forkNumber;
           }
           forkProcesses.push_back(child);
           ++result.forkCount;
@@ -121,8 +123,8 @@
   simulation.run([&](std::size_t requestIndex, double latencySeconds, bool inTime) {
     if (!isFork || requestIndex != forkedRequest) return;
     ForkedOutcomes& outcomes = forkedOutcomes[currentCell];
-    const std::size_t item = outcomes.forkCount.fetch_add(1);
-    outcomes.latencySeconds[item] = latencySeconds, outcomes.inTime[item] = inTime ? 1 : 0;
+    const std::size_t slot = outcomes.forkCount.fetch_add(1);
+    outcomes.latencySeconds[slot] = latencySeconds, outcomes.inTime[slot] = inTime ? 1 : 0;
     ::_exit(0);
   });
   if (isFork) ::_exit(1);
@@ -173,7 +175,7 @@
   return result;
 }
 
-const char* kMethodNames[] = {"weighted", "self-normalised", "direct", "doubly robust"};
+const char* kMethodNames[] = {"weighted", "self-normalized", "direct", "doubly robust"};
 
 }  // namespace
 
@@ -185,7 +187,7 @@
   std::vector<pid_t> workerProcesses;
   for (unsigned workerIndex = 0; workerIndex < workerCount; ++workerIndex) {
     const pid_t child = ::fork();
-    if (child < 0) throw std::runtime_error("no process for a worker");
+    if (child < 0) throw std::runtime_error("cannot fork a worker process");
     if (child > 0) {
       workerProcesses.push_back(child);
       continue;
@@ -200,11 +202,11 @@
     ::_exit(0);
   }
   for (const pid_t workerProcess : workerProcesses) waitForProcess(workerProcess);
-  std::printf("%-10s %5s %6s %7s  %s\n", "day", "seed", "jobs", "copies",
-              "in time, seconds; a policy's reach, truth less what happened, estimate less truth");
+  std::printf("%-10s %5s %8s %7s  %s\n", "scenario", "seed", "requests", "forks",
+              "in time, seconds; per policy: reachable, truth minus logged, estimate minus truth");
   for (unsigned index = 0; index < scenarioCount; ++index) {
     const ScenarioResult& result = results[index];
-    std::printf("%-10s %5llu %6.0f %7.0f  %.3f %.3f;",
+    std::printf("%-10s %5llu %8.0f %7.0f  %.3f %.3f;",
                 toString(static_cast<ScenarioKind>((seed + index) % kScenarioKindCount)),
                 static_cast<unsigned long long>(seed + index), result.requestCount, result.forkCount,
                 result.policies[0].loggedMean[0], result.policies[0].loggedMean[1]);
@@ -248,21 +250,21 @@
       if (static_cast<counterfactual::Method>(method) != counterfactual::Method::doublyRobust) continue;
       pairCount = estimateCount, coverage = coveredCount / divisor;
       std::printf(
-          "forced on all jobs of the day: covered %.1f%%, %.5f from what it does one job at a time; "
-          "that is %.5f from what happened\n",
+          "policy forced on all requests: covered %.1f%%, differs by %.5f from the policy forced on single\n"
+          "requests, which differs by %.5f from the logged outcome\n",
           100 * appliedToAllCoveredCount / divisor, appliedToAllGapSum / divisor, policyEffectSum / divisor);
       for (const auto& [verdict, count] : verdicts) std::printf("  %d %s\n", count, describeVerdict(verdict));
       for (std::size_t policy = 0; policy < kPolicyCount; ++policy) {
         double policyEstimateCount = 0, policyCoveredCount = 0, biasSum = 0;
         for (unsigned index = 0; index < scenarioCount; ++index) {
-          const auto& item = results[index].policies[policy];
-          const counterfactual::Estimate& estimate = item.estimates[measure].doublyRobust();
+          const auto& policyResult = results[index].policies[policy];
+          const counterfactual::Estimate& estimate = policyResult.estimates[measure].doublyRobust();
           if (!estimate.isConclusive()) continue;
-          policyEstimateCount += 1, policyCoveredCount += item.trueMean[measure] >= estimate.low &&
-                                                          item.trueMean[measure] <= estimate.high;
-          biasSum += estimate.value - item.trueMean[measure];
+          policyEstimateCount += 1, policyCoveredCount += policyResult.trueMean[measure] >= estimate.low &&
+                                                          policyResult.trueMean[measure] <= estimate.high;
+          biasSum += estimate.value - policyResult.trueMean[measure];
         }
-        std::printf("  %s: %.0f told, %.0f covered, mean of estimate less truth %+.5f\n",
+        std::printf("  %s: %.0f conclusive, %.0f covered, mean of estimate minus truth %+.5f\n",
                     nameOf(static_cast<Policy>(policy)), policyEstimateCount, policyCoveredCount,
                     biasSum / std::max(policyEstimateCount, 1.0));
       }
@@ -286,8 +288,8 @@
                           firstResult.trueMean[measure] - result.policies[secondPolicy].trueMean[measure]);
       }
     }
-    std::printf("the better of two: asked %.0f times, named %.0f times, right in %.1f%%\n", comparisonCount,
-                decidedCount, 100 * correctCount / std::max(decidedCount, 1.0));
+    std::printf("better of two policies: %.0f comparisons, %.0f conclusive, %.1f%% of these correct\n",
+                comparisonCount, decidedCount, 100 * correctCount / std::max(decidedCount, 1.0));
     passed = passed && correctCount >= 0.9 * decidedCount &&
              (pairCount < 200 || (coverage >= 0.85 && coverage <= 0.95));
     passed = passed && errorSums[3] < errorSums[0] && errorSums[3] < errorSums[2];
--- a/src/loadtest/demo.cpp
+++ b/src/loadtest/demo.cpp
@@ -81,54 +81,56 @@
       std::snprintf(line, sizeof line, values...);
       output += line;
     };
-    append("%.0f s, %.0f jobs a second asked for; stand-in executors, all on loopback. Ctrl-C ends.\n\n",
-           toMilliseconds(loop.now() - startedAt) / 1000, requestsPerSecond);
-    append("%-12s %-8s %8s %8s %10s %8s %9s %9s\n", "controller", "front", "open", "done/s", "throttled/s",
+    append(
+        "%.0f s, target %.0f requests per second; fake engines, all on loopback. Ctrl-C ends the demo.\n\n",
+        toMilliseconds(loop.now() - startedAt) / 1000, requestsPerSecond);
+    append("%-12s %-8s %8s %8s %10s %8s %9s %9s\n", "controller", "service", "open", "compl./s", "rejected/s",
            "other/s", "p50 ms", "p99 ms");
-    for (unsigned value = 0; value < controllerCount; ++value) {
-      if (const auto exitCode = fleet.controller(value).exitCode()) {
-        append("c%-11u ended with %d\n", value + 1, *exitCode);
+    for (unsigned index = 0; index < controllerCount; ++index) {
+      if (const auto exitCode = fleet.controller(index).exitCode()) {
+        append("c%-11u exited with %d\n", index + 1, *exitCode);
         if (!interrupted && *exitCode != 0) exitStatus = 1;
         continue;
       }
-      const RecentStatistics recent = summarizeRecent(loadGenerator, value, loop.now() - 2s);
-      append("c%-11u %-8s %8zu %8zu %10zu %8zu %9.1f %9.1f\n", value + 1,
-             loadGenerator.isInService(value) ? "in" : "out", loadGenerator.openRequestsAt(value),
+      const RecentStatistics recent = summarizeRecent(loadGenerator, index, loop.now() - 2s);
+      append("c%-11u %-8s %8zu %8zu %10zu %8zu %9.1f %9.1f\n", index + 1,
+             loadGenerator.isInService(index) ? "in" : "out", loadGenerator.openRequestsAt(index),
              recent.completed / 2, recent.rejected / 2, recent.otherOutcomes / 2,
              quantile(recent.latenciesMs, 0.5), quantile(recent.latenciesMs, 0.99));
     }
-    append("\n%-12s %8s %8s\n", "executor", "open", "ran");
-    for (unsigned item = 0; item < options.engines; ++item)
-      append("s-%-10u %8zu %8llu\n", item + 1, fleet.engine(item).openAskCount(),
-             static_cast<unsigned long long>(fleet.engine(item).runCount()));
+    append("\n%-12s %8s %8s\n", "engine", "open", "executed");
+    for (unsigned index = 0; index < options.engines; ++index)
+      append("s-%-10u %8zu %8llu\n", index + 1, fleet.engine(index).openAskCount(),
+             static_cast<unsigned long long>(fleet.engine(index).runCount()));
     const LoadGenerator::Counters& statistics = loadGenerator.counters();
-    append("\nsent %llu, open %llu, lost %llu, doubled %llu, run twice %llu\n",
+    append("\nsent %llu, open %llu, lost %llu, answered twice %llu, executed twice %llu\n",
            static_cast<unsigned long long>(statistics.sent), static_cast<unsigned long long>(statistics.open),
            static_cast<unsigned long long>(statistics.lost),
            static_cast<unsigned long long>(statistics.duplicateAnswers),
            static_cast<unsigned long long>(fleet.duplicateRunCount()));
     output += "\nIn another terminal:\n";
-    for (unsigned element = 0; element < controllerCount; ++element)
-      output += "  " + controllerProgram + " drain --watch -s " + fleet.adminSocketPath(element) + "\n";
+    for (unsigned index = 0; index < controllerCount; ++index)
+      output += "  " + controllerProgram + " drain --watch -s " + fleet.adminSocketPath(index) + "\n";
     output += "  " + controllerProgram + " drain --cancel -s " + fleet.adminSocketPath(0) + "\n  " +
               controllerProgram + " roll";
-    for (unsigned entry = 0; entry < controllerCount; ++entry) output += " " + fleet.adminSocketPath(entry);
+    for (unsigned index = 0; index < controllerCount; ++index) output += " " + fleet.adminSocketPath(index);
     std::printf("%s%s\n", isTerminal ? "\x1b[H\x1b[J" : "", output.c_str());
     std::fflush(stdout);
   }
   // A planned stop: SIGTERM lets the controllers answer the open requests.
   loadGenerator.stop();
-  for (unsigned value = 0; value < controllerCount; ++value)
-    if (!fleet.controller(value).exitCode()) fleet.controller(value).sendSignal(SIGTERM);
+  for (unsigned index = 0; index < controllerCount; ++index)
+    if (!fleet.controller(index).exitCode()) fleet.controller(index).sendSignal(SIGTERM);
   loop.runUntil(
       [&] {
-        for (unsigned item = 0; item < controllerCount; ++item)
-          if (!fleet.controller(item).exitCode()) return false;
+        for (unsigned index = 0; index < controllerCount; ++index)
+          if (!fleet.controller(index).exitCode()) return false;
         return true;
       },
       6s);
   const LoadGenerator::Counters& statistics = loadGenerator.counters();
-  std::printf("ended: %llu jobs, %llu lost, %llu doubled\n", static_cast<unsigned long long>(statistics.sent),
+  std::printf("finished: %llu requests, %llu lost, %llu answered twice\n",
+              static_cast<unsigned long long>(statistics.sent),
               static_cast<unsigned long long>(statistics.lost),
               static_cast<unsigned long long>(statistics.duplicateAnswers));
   return exitStatus != 0 || statistics.lost + statistics.duplicateAnswers > 0 ? 1 : 0;
--- a/src/loadtest/drain.cpp
+++ b/src/loadtest/drain.cpp
@@ -32,7 +32,7 @@
   LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.frontAddresses(), 5);
   loadGenerator.setHeartbeatInterval(20ms);
   if (!loop.runUntil([&] { return loadGenerator.isInService(0); }, 5s))
-    throw std::runtime_error("the controller does not serve");
+    throw std::runtime_error("the controller did not start serving within 5 s");
   AdminClient adminClient(loop, fleet.adminSocketPath(0));
   adminClient.sendRequest({{"do", "watch"}, {"every_ms", 100}});
   std::optional<fakes::MisbehavingClients> misbehavingClients;
@@ -52,13 +52,14 @@
     const Json response = adminClient.sendRequest(
         {{"do", "drain"}, {"deadline_ms", hasShortDeadline ? kShortDeadline.count() : 20000}});
     if (response.is_null() || response["ok"] != true || !adminClient.waitForState("drained", 30s))
-      throw std::runtime_error("it did not drain: " + response.dump());
+      throw std::runtime_error("the controller did not drain: " + response.dump());
     const transport::TimePoint drainedAt = adminClient.stateChangedAt();
     // When the last accepted request got its answer.
     transport::TimePoint lastEndedAt = requestedAt;
-    for (std::size_t item = firstRequest; item < loadGenerator.requests().size(); ++item)
-      if (loadGenerator.requests()[item].endedAt <= drainedAt)
-        lastEndedAt = std::max(lastEndedAt, loadGenerator.requests()[item].endedAt);
+    for (std::size_t requestIndex = firstRequest; requestIndex < loadGenerator.requests().size();
+         ++requestIndex)
+      if (loadGenerator.requests()[requestIndex].endedAt <= drainedAt)
+        lastEndedAt = std::max(lastEndedAt, loadGenerator.requests()[requestIndex].endedAt);
     if (hasShortDeadline && lastEndedAt >= requestedAt + kShortDeadline - 5ms) {
       delaysAfterDeadline.push_back(toMilliseconds(drainedAt - requestedAt - kShortDeadline));
       ++deadlineCount;
@@ -75,13 +76,13 @@
                       statistics.unsolicitedAnswers == 0 && fleet.duplicateRunCount() == 0 &&
                       quantile(delaysAfterLastRequest, 0.99) < kMaxDelayMs &&
                       quantile(delaysAfterDeadline, 0.99) < kMaxDelayMs;
-  std::printf(
-      "%8.0f %8zu %8s %8u %10.1f %10.1f %12.1f %12.1f %9llu %6llu %8llu %s\n", drainCase.requestsPerSecond,
-      drainCase.reportCount, drainCase.hasMisbehavingClients ? "60" : "-", roundCount,
-      quantile(delaysAfterLastRequest, 0.5), quantile(delaysAfterLastRequest, 0.99),
-      quantile(delaysAfterDeadline, 0.5), quantile(delaysAfterDeadline, 0.99),
-      static_cast<unsigned long long>(statistics.sent), static_cast<unsigned long long>(statistics.lost),
-      static_cast<unsigned long long>(statistics.duplicateAnswers), passed ? "" : " NOT AS IT SHOULD BE");
+  std::printf("%8.0f %8zu %11s %8u %10.1f %10.1f %12.1f %12.1f %9llu %6llu %10llu %s\n",
+              drainCase.requestsPerSecond, drainCase.reportCount,
+              drainCase.hasMisbehavingClients ? "60" : "-", roundCount, quantile(delaysAfterLastRequest, 0.5),
+              quantile(delaysAfterLastRequest, 0.99), quantile(delaysAfterDeadline, 0.5),
+              quantile(delaysAfterDeadline, 0.99), static_cast<unsigned long long>(statistics.sent),
+              static_cast<unsigned long long>(statistics.lost),
+              static_cast<unsigned long long>(statistics.duplicateAnswers), passed ? "" : " FAILED");
   std::fflush(stdout);
   return passed;
 }
@@ -100,7 +101,7 @@
   fakes::FakeFleet fleet(loop, loop.outputBudget, options);
   LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.frontAddresses(), 6);
   if (!loop.runUntil([&] { return loadGenerator.isInService(0); }, 5s))
-    throw std::runtime_error("the controller does not serve");
+    throw std::runtime_error("the controller did not start serving within 5 s");
   // The answer to a heartbeat would briefly count as unsent bytes.
   loadGenerator.setHeartbeatInterval(20s);
   loop.runFor(200ms);
@@ -137,8 +138,8 @@
                              sample.requests;
     if (!matches) ++mismatched;
   }
-  std::printf("\nprogress lines %zu, compared with the outside books %zu, wrong %zu%s\n", samples.size(),
-              compared, mismatched, mismatched == 0 && compared > 50 ? "" : "  NOT AS IT SHOULD BE");
+  std::printf("\nprogress reports %zu, compared with clients and engines %zu, mismatched %zu%s\n",
+              samples.size(), compared, mismatched, mismatched == 0 && compared > 50 ? "" : "  FAILED");
   return mismatched == 0 && compared > 50;
 }
 
@@ -146,12 +147,13 @@
 
 int measureDrain(const std::string& controllerProgram, unsigned roundCount) {
   std::printf(
-      "ms from what the drain had to wait for (the last job's own end, or the deadline of %lld ms in every "
-      "second\n"
-      "round) to its being told as drained; long reports take 300 to 1500 ms at stand-in executors\n\n",
+      "ms until a controller reports that it has drained, from the end of the last request (last) or, in\n"
+      "every second round, from the deadline of %lld ms; report requests take 300 to 1500 ms at the fake\n"
+      "engines\n\n",
       static_cast<long long>(kShortDeadline.count()));
-  std::printf("%8s %8s %8s %8s %10s %10s %12s %12s %9s %6s %8s\n", "jobs/s", "reports", "vandals", "drains",
-              "own p50", "own p99", "deadline p50", "deadline p99", "jobs", "lost", "doubled");
+  std::printf("%8s %8s %11s %8s %10s %10s %12s %12s %9s %6s %10s\n", "req/s", "reports", "misbehaving",
+              "drains", "last p50", "last p99", "deadline p50", "deadline p99", "requests", "lost",
+              "dup. reply");
   bool passed = true;
   int networkIndex = 62;
   for (const DrainCase& drainCase : {DrainCase{200, 1, false},
--- a/src/loadtest/experiments.hpp
+++ b/src/loadtest/experiments.hpp
@@ -1,4 +1,4 @@
-// The experiments of paddletrack_loadtest and what they share.
+// The experiments of paddletrack_loadtest and the helpers that they share.
 #pragma once
 
 #include <algorithm>
@@ -45,7 +45,7 @@
   const std::string& state() const { return state_; }
   /// When the current state was first reported.
   transport::TimePoint stateChangedAt() const { return stateChangedAt_; }
-  /// Called with each status report that the controller sends by itself, if set.
+  /// Called with each status report that the controller pushes, if set.
   std::function<void(const Json& status)> onProgress;
 
  private:
@@ -81,8 +81,7 @@
                          static_cast<std::size_t>(fraction * static_cast<double>(values.size())))];
 }
 
-// The experiments. Each prints its table and returns the exit code of the program: 0 if what it is meant to
-// show holds.
+// The experiments. Each prints its results and returns the exit code of the program: 0 if its checks pass.
 int runDemo(const std::string& controllerProgram, unsigned controllerCount, double requestsPerSecond,
             double durationSeconds);
 int measureDrain(const std::string& controllerProgram, unsigned roundCount);
@@ -121,12 +120,12 @@
   bool configHasEndpoints = true;           ///< The configuration holds the endpoint list.
   bool enginesWarmingUp = false;            ///< All engines have just started.
   bool routesToServingControllers = false;  ///< Otherwise each controller has clients of its own.
-  unsigned discoveryLatencyMs = 0;          ///< Time of one answer of the endpoint list.
+  unsigned discoveryLatencyMs = 0;          ///< Response time of the endpoint list.
   unsigned discoveryOutageMs = 0;           ///< The endpoint list is down for this time at first.
   unsigned durationSeconds = 15;
   unsigned settleSeconds = 3;
   std::string baselineProgram;  ///< An earlier build of the program to compare with, if any.
-  std::string operatorConfig;   ///< The operator file of the variant "on", if any.
+  std::string operatorConfig;   ///< The operator's file of the variant "on", if any.
   bool printsJson = false;
 };
 int measureColdStart(const std::string& controllerProgram, const ColdStartOptions& options);
--- a/src/loadtest/fail_points.cpp
+++ b/src/loadtest/fail_points.cpp
@@ -1,5 +1,6 @@
 // Makes one fail point after another fail (src/failpoint/failpoint.hpp), each in a run of its own. In every
-// run a controller goes through the same script between fake engines, endpoint list, clients and operator.
+// run a controller goes through the same script with fake engines, a fake endpoint list, clients and an
+// operator.
 #include <dirent.h>
 #include <fcntl.h>
 #include <sys/wait.h>
@@ -49,7 +50,7 @@
 
 struct Verdict {
   bool fired = false;        // The fail point was reached.
-  bool exitedEarly = false;  // The process exited before it was told to.
+  bool exitedEarly = false;  // The process exited before it was asked to stop.
   std::string failure;       // Empty if the run passed.
   std::string log;           // Of the controller.
 };
@@ -123,9 +124,9 @@
     if (hasExited()) return;
     for (std::size_t index = firstRequest; index < loadGenerator_->requests().size(); ++index) {
       const LoadGenerator::Request& request = loadGenerator_->requests()[index];
-      check(request.answerCount > 0 || request.lost, std::string("a job without an end, ") + stage);
+      check(request.answerCount > 0 || request.lost, std::string("a request did not end, ") + stage);
       check(request.endedAt - request.sentAt < kMaxRequestLatency,
-            "a job took " +
+            "a request took " +
                 std::to_string(static_cast<int>(toMilliseconds(request.endedAt - request.sentAt))) + " ms, " +
                 stage);
     }
@@ -144,7 +145,7 @@
                               {"report", "acme", 0, 3ms, 6ms, 3s, "pages=3"},
                               {"report", "acme", 0, 150ms, 150ms, 3s}});
     if (!runUntil([&] { return loadGenerator_->isInService(0); }, 5s)) {
-      if (!hasExited()) recordFailure("it does not serve");
+      if (!hasExited()) recordFailure("the controller did not start serving within 5 s");
       return shutDownAndCheck();
     }
     exerciseController();
@@ -154,22 +155,22 @@
   void exerciseController() {
     std::optional<AdminClient> adminClient(std::in_place, loop_, fleet_->adminSocketPath(0));
     adminClient->sendRequest({{"do", "status"}});
-    sendRequests({kLookUpClass, kOrderClass, kLoadClass, kReportClass}, "at first");
+    sendRequests({kLookUpClass, kOrderClass, kLoadClass, kReportClass}, "at the start");
     changeEndpoints();
     if (!hasExited()) drainAndCancel(adminClient);
     checkServing();
     if (!hasExited()) checkDescriptors(adminClient);
-    // The controller is told to stop while a request is in flight.
+    // The controller is stopped while a request is in flight.
     if (!hasExited()) loadGenerator_->send(kLongReportClass, 0);
     loop_.runFor(20ms);
   }
 
-  // The endpoint list changes; then the configuration names another list service and is read again.
+  // The endpoint list changes; then the configuration names another endpoint list and is reloaded.
   void changeEndpoints() {
     fakes::FakeEndpointList::Endpoint newEndpoint = fleet_->endpoints()[0];
     newEndpoint.id = "s-3";
     fleet_->endpointList().publish({fleet_->endpoints()[1], newEndpoint});
-    sendRequests({kLookUpClass, kLoadClass}, "after the list changed");
+    sendRequests({kLookUpClass, kLoadClass}, "after the endpoint list changed");
     std::string configText = readFile(fleet_->configPath(0));
     const std::string networkPrefix =
         "127." + std::to_string(options_.subnet / 256) + "." + std::to_string(options_.subnet % 256);
@@ -201,7 +202,7 @@
       adminClient.emplace(loop_, fleet_->adminSocketPath(0));
     }
     const bool isBack = runUntil([&] { return loadGenerator_->isInService(0); }, 3s);
-    if (!isBack && !hasExited()) recordFailure("it does not come back");
+    if (!isBack && !hasExited()) recordFailure("the controller did not return to service within 3 s");
   }
 
   // Whatever has failed, the controller must serve as before.
@@ -209,12 +210,12 @@
     bool succeeded = false;
     for (int tries = 0; tries < kMaxServingTries && !succeeded && !hasExited(); ++tries) {
       const std::size_t requestIndex = loadGenerator_->requests().size();
-      sendRequests({kLookUpClass}, "at last");
+      sendRequests({kLookUpClass}, "at the end");
       succeeded = loadGenerator_->requests()[requestIndex].outcome == Disposition::completed &&
                   loadGenerator_->requests()[requestIndex].answerCount == 1;
       if (!succeeded) loop_.runFor(100ms);
     }
-    check(succeeded || hasExited(), "it serves no more");
+    check(succeeded || hasExited(), "the controller does not serve any more");
   }
 
   // Polls the status, over a new connection if the last one was lost.
@@ -228,7 +229,7 @@
         return;
       }
     }
-    if (!hasExited()) recordFailure("it is not " + expectedState);
+    if (!hasExited()) recordFailure("the controller did not reach the state " + expectedState);
   }
 
   // Descriptors that belong to no client, engine or operator must be as many as in the run without a fault.
@@ -250,32 +251,34 @@
       ownDescriptors_ = countDescriptors(fleet_->controller(0).pid()) - externalDescriptors;
       matches = !isFirstRun && ownDescriptors_ <= expectedDescriptors_;
     }
-    check(isFirstRun || matches || hasExited(), "descriptors: " + std::to_string(ownDescriptors_) +
-                                                    " of its own, " + std::to_string(expectedDescriptors_) +
-                                                    " without the fault");
+    check(isFirstRun || matches || hasExited(),
+          "descriptors without connections: " + std::to_string(ownDescriptors_) + ", expected at most " +
+              std::to_string(expectedDescriptors_) + ", as without the fault");
   }
 
   void shutDownAndCheck() {
     exitedEarly_ = hasExited();
     if (!exitedEarly_) fleet_->controller(0).sendSignal(SIGTERM);
-    if (!loop_.runUntil([&] { return hasExited(); }, 8s)) return recordFailure("it does not end");
+    if (!loop_.runUntil([&] { return hasExited(); }, 8s))
+      return recordFailure("the controller did not exit within 8 s of SIGTERM");
     loop_.runFor(10ms);
     const int code = *fleet_->controller(0).exitCode();
     const std::string logText = readFile(fleet_->logPath(0));
     if (logText.find("Sanitizer") != std::string::npos || logText.find("runtime error") != std::string::npos)
-      return recordFailure("a sanitizer speaks");
+      return recordFailure("a sanitizer reported an error in the log");
     const bool wasKilled = point_ && point_->kind == "kill";
     if (wasKilled && code == 128 + SIGKILL) {
       exitedEarly_ = true;
     } else if (exitedEarly_ || code != 0) {
       exitedEarly_ = true;
-      check(code == 1 || code == 2, "it ended with " + std::to_string(code));
+      check(code == 1 || code == 2, "expected exit code 1 or 2, found " + std::to_string(code));
       bool hasErrorKind = false;
       for (const ErrorDescription& errorDescription : kErrorDescriptions)
         hasErrorKind = hasErrorKind ||
                        (errorDescription.kind != ErrorKind::unexpected && errorDescription.exitCode == code &&
                         logText.find(std::string("(") + errorDescription.name + ")") != std::string::npos);
-      check(hasErrorKind, "it ended with " + std::to_string(code) + " without an error of a kind");
+      check(hasErrorKind,
+            "exit code " + std::to_string(code) + " without an error of a known kind in the log");
     }
     checkAccounting();
     if (exitedEarly_) checkRestart();
@@ -285,21 +288,23 @@
   // executed twice, and none that was rejected is executed.
   void checkAccounting() {
     loop_.runUntil([&] { return loadGenerator_->counters().open == 0; }, 4s);
-    check(loadGenerator_->counters().duplicateAnswers == 0, "an answer came twice");
-    check(loadGenerator_->counters().unsolicitedAnswers == 0, "an answer to nothing");
+    check(loadGenerator_->counters().duplicateAnswers == 0, "a request was answered twice");
+    check(loadGenerator_->counters().unsolicitedAnswers == 0, "an answer without a request");
     const bool mayLoseRequests = exitedEarly_ || (point_ && point_->affectsClientConnection());
     for (const LoadGenerator::Request& request : loadGenerator_->requests()) {
       unsigned executions = 0;
       for (std::size_t index = 0; index < options_.engines; ++index)
         executions += fleet_->engine(index).runCount(request.reference);
-      if (request.lost) check(mayLoseRequests, "a job was lost");
+      if (request.lost) check(mayLoseRequests, "a request was lost");
       if (request.profile != kLoadClass) continue;
-      check(executions <= 1, "a run-once job ran " + std::to_string(executions) + " times");
+      check(executions <= 1,
+            "a request that is not idempotent was executed " + std::to_string(executions) + " times");
       if (request.answerCount == 0) continue;
       if (request.outcome == Disposition::completed)
-        check(executions == 1, "a run-once job is told as done and ran not");
+        check(executions == 1,
+              "a request that is not idempotent was reported as completed, but not executed");
       if (request.outcome == Disposition::rejected)
-        check(executions == 0, "a run-once job is told as not run, and ran");
+        check(executions == 0, "a request that is not idempotent was rejected, but executed");
     }
   }
 
@@ -307,14 +312,15 @@
   void checkRestart() {
     fleet_->startController(0, {});
     if (!runUntil([&] { return loadGenerator_->isInService(0); }, 5s))
-      return recordFailure("started again it does not serve");
+      return recordFailure("the restarted controller did not start serving within 5 s");
     const std::size_t requestIndex = loadGenerator_->requests().size();
-    sendRequests({kLookUpClass}, "after the start");
+    sendRequests({kLookUpClass}, "after the restart");
     check(loadGenerator_->requests()[requestIndex].outcome == Disposition::completed,
-          "started again it does no job");
+          "the restarted controller did not complete a request");
     fleet_->controller(0).sendSignal(SIGTERM);
     loop_.runUntil([&] { return hasExited(); }, 8s);
-    check(hasExited() && *fleet_->controller(0).exitCode() == 0, "started again it does not end well");
+    check(hasExited() && *fleet_->controller(0).exitCode() == 0,
+          "the restarted controller did not exit with 0 within 8 s of SIGTERM");
   }
 
   const FailPoint* point_;
@@ -359,7 +365,7 @@
 };
 
 // Runs every n-th point in a process of its own. Writes a line "TAG POINT FAILURE" for each, where TAG is R
-// (reached), E (exited early), U (unreached) or W (wrong).
+// (reached), E (exited early), U (unreached) or W (failed).
 void runWorker(const FailPointOptions& options, unsigned workerIndex, std::size_t ownDescriptors,
                const std::vector<FailPoint>& points, int outputFd) {
   for (std::size_t index = workerIndex; index < points.size(); index += options.workerCount) {
@@ -380,7 +386,7 @@
   const std::size_t hitPosition = text.find('#');
   const std::size_t kindPosition = text.find('=');
   if (hitPosition == std::string::npos || kindPosition == std::string::npos || kindPosition < hitPosition) {
-    std::printf("--only: SITE#N=KIND is expected\n");
+    std::printf("--only: must be SITE#N=KIND\n");
     return 1;
   }
   const FailPoint point{text.substr(0, hitPosition),
@@ -389,8 +395,8 @@
   FailPointRun failPointRun(options, networkIndex, &point);
   const Verdict verdict = failPointRun.run();
   std::printf("%s\n%s: %s%s%s\n", verdict.log.c_str(), point.toString().c_str(),
-              verdict.fired ? "" : "not reached; ", verdict.exitedEarly ? "ended; " : "",
-              verdict.failure.empty() ? "as it should be" : verdict.failure.c_str());
+              verdict.fired ? "" : "not reached; ", verdict.exitedEarly ? "exited; " : "",
+              verdict.failure.empty() ? "passed" : verdict.failure.c_str());
   return verdict.failure.empty() ? 0 : 1;
 }
 
@@ -431,7 +437,7 @@
   if (line[0] == 'E') ++totals.exitedEarly;
   if (line[0] != 'W') return;
   ++totals.failed;
-  std::printf("NOT AS IT SHOULD BE: %s\n", line.c_str() + 2);
+  std::printf("FAILED: %s\n", line.c_str() + 2);
   std::fflush(stdout);
 }
 
@@ -466,15 +472,14 @@
     FailPointRun faultFreeRun(options, networkIndex, nullptr);
     const Verdict verdict = faultFreeRun.run();
     if (!verdict.failure.empty()) {
-      std::printf("without any fault: %s\n%s\n", verdict.failure.c_str(), verdict.log.c_str());
+      std::printf("run without a fault: %s\n%s\n", verdict.failure.c_str(), verdict.log.c_str());
       return 1;
     }
     ownDescriptors = faultFreeRun.ownDescriptors();
     points = parseFailPoints(faultFreeRun.readReport(), pointCount, siteCount);
   }
   if (points.empty()) {
-    std::printf("no point is numbered: %s is built without PADDLETRACK_FAIL_POINTS\n",
-                options.program.c_str());
+    std::printf("no fail points: %s was built without PADDLETRACK_FAIL_POINTS\n", options.program.c_str());
     return 1;
   }
   const std::size_t caseCount = points.size();
@@ -490,9 +495,8 @@
   ::close(pipeFds[0]);
   for (const pid_t worker : workers) ::waitpid(worker, nullptr, 0);
   std::printf(
-      "%zu sites, %zu points, %zu cases; %zu runs: %zu reached their point, of these %zu ended the process "
-      "as "
-      "they may, %zu wrong; %.0f s\n",
+      "%zu sites, %zu points, %zu cases; %zu runs: %zu reached their point, of these %zu made the process "
+      "exit early as allowed, %zu failed; %.0f s\n",
       siteCount, pointCount, caseCount, totals.runs, totals.fired, totals.exitedEarly, totals.failed,
       toMilliseconds(transport::Clock::now() - startedAt) / 1000);
   return totals.failed == 0 && totals.runs == points.size() ? 0 : 1;
--- a/src/loadtest/gossip.cpp
+++ b/src/loadtest/gossip.cpp
@@ -84,7 +84,7 @@
   options.seed = memberCount;
   options.gossipInterval = "200ms";
   GossipCluster fleet(loop, options);
-  if (!fleet.start(60s)) throw std::runtime_error("the controllers do not come to know each other");
+  if (!fleet.start(60s)) throw std::runtime_error("the controllers did not discover each other within 60 s");
   FleetStatusWatcher watcher(loop, fleet, memberCount);
   std::uint64_t expectedRequests = 0;
   const auto hasAllRequests = [&](const Json& status) { return status["fleet"]["jobs"] == expectedRequests; };
@@ -93,14 +93,15 @@
     times.push_back(elapsed.value_or(1e9));
   };
   if (!watcher.measureTimeUntil(hasAllRequests, 10s))
-    throw std::runtime_error("they do not agree on nothing");
+    throw std::runtime_error("the controllers did not agree on the initial state within 10 s");
   for (unsigned round = 0; round < roundCount; ++round) {
     fleet.runRequests(round % memberCount, 1);
     ++expectedRequests;
     appendTime(updateTimesMs, watcher.measureTimeUntil(hasAllRequests, 30s));
   }
   std::vector<unsigned> firstHalf;
-  for (unsigned value = 0; value < memberCount / 2; ++value) firstHalf.push_back(value);
+  for (unsigned memberIndex = 0; memberIndex < memberCount / 2; ++memberIndex)
+    firstHalf.push_back(memberIndex);
   for (unsigned round = 0; round < roundCount / 2; ++round) {
     fleet.mesh.partition(firstHalf);
     loop.runFor(100ms);
@@ -123,7 +124,7 @@
     loop.runUntil([&] { return fleet.fleet.controller(restartedMember).exitCode().has_value(); }, 5s);
     const transport::TimePoint startedAt = loop.now();
     fleet.fleet.startController(restartedMember);
-    loop.runUntil([&] { return fleet.memberCount(restartedMember) > 0; }, 10s);  // its admin socket answers
+    loop.runUntil([&] { return fleet.memberCount(restartedMember) > 0; }, 10s);  // its admin socket responds
     watcher.watchMember(fleet, restartedMember);
     // From its start until it knows all owners and all members have the same sum.
     const bool allAgree =
@@ -140,8 +141,8 @@
   }
   const Json& status = watcher.memberStatus(0);
   std::uint64_t malformedCount = 0;
-  for (unsigned item = 0; item < memberCount; ++item)
-    malformedCount += watcher.memberStatus(item)["dropped"]["broken"].get<std::uint64_t>();
+  for (unsigned memberIndex = 0; memberIndex < memberCount; ++memberIndex)
+    malformedCount += watcher.memberStatus(memberIndex)["dropped"]["broken"].get<std::uint64_t>();
   const double slowestMs =
       std::max({quantile(updateTimesMs, 1), quantile(healTimesMs, 1), quantile(restartTimesMs, 1)});
   std::printf("%8u %9.0f %9.0f %9.0f %9.0f %9.0f %9.0f %10.0f %10.0f %8llu %8llu%s\n", memberCount,
@@ -149,12 +150,12 @@
               quantile(healTimesMs, 1), quantile(restartTimesMs, 0.5), quantile(restartTimesMs, 1),
               idleBytesPerSecond, loadedBytesPerSecond, status["entries"].get<unsigned long long>(),
               status["bytes"].get<unsigned long long>(),
-              slowestMs < 1e8 && malformedCount == 0 ? "" : "  NOT AS IT SHOULD BE");
+              slowestMs < 1e8 && malformedCount == 0 ? "" : "  FAILED");
   std::fflush(stdout);
   return slowestMs < 1e8 && malformedCount == 0;
 }
 
-// Time until a new member of a fleet with much state has the load record of half of the owners, of 90 % of
+// Time until a new member of a fleet with large state has the load records of half of the owners, of 90 % of
 // them, and all entries.
 struct CatchUpTimes {
   double halfMs = 0, ninetyPercentMs = 0, allMs = 0;
@@ -170,24 +171,24 @@
   std::vector<Member> fleet(memberCount);
   Duration now{0};
   std::size_t tableRowCount = 0;
-  for (unsigned value = 0; value < memberCount; ++value) {
+  for (unsigned memberIndex = 0; memberIndex < memberCount; ++memberIndex) {
     StoreOptions storeOptions;
-    storeOptions.owner = "controller-" + std::to_string(value);
+    storeOptions.owner = "controller-" + std::to_string(memberIndex);
     storeOptions.deltaOrder = order;
     GossipOptions gossipOptions;
     for (unsigned peer = 0; peer < memberCount; ++peer)
-      if (peer != value) gossipOptions.peers.push_back(peer);
-    gossipOptions.seed = seed * 1000 + value;
-    fleet[value] = {std::make_unique<Store>(storeOptions), nullptr};
-    fleet[value].gossip = std::make_unique<GossipProtocol>(*fleet[value].store, gossipOptions);
+      if (peer != memberIndex) gossipOptions.peers.push_back(peer);
+    gossipOptions.seed = seed * 1000 + memberIndex;
+    fleet[memberIndex] = {std::make_unique<Store>(storeOptions), nullptr};
+    fleet[memberIndex].gossip = std::make_unique<GossipProtocol>(*fleet[memberIndex].store, gossipOptions);
     // The last member is new. The others hold a load record and tables of different sizes.
-    if (value + 1 == memberCount) continue;
-    for (std::size_t row = 0; row * 1000 < largestTableBytes * value / memberCount; ++row, ++tableRowCount)
-      fleet[value].store->put(now, kRebalance, std::to_string(row), std::string(1000, 'r'));
+    if (memberIndex + 1 == memberCount) continue;
+    for (std::size_t row = 0; row * 1000 < largestTableBytes * memberIndex / memberCount;
+         ++row, ++tableRowCount)
+      fleet[memberIndex].store->put(now, kRebalance, std::to_string(row), std::string(1000, 'r'));
   }
   const auto publishLoadRecords = [&] {
-    for (Member& controllerClient : fleet)
-      controllerClient.store->put(now, kLoad, "", std::to_string(now.count()));
+    for (Member& member : fleet) member.store->put(now, kLoad, "", std::to_string(now.count()));
   };
   publishLoadRecords();
   for (unsigned receiver = 0; receiver + 1 < memberCount; ++receiver)
@@ -200,7 +201,7 @@
     unsigned sender, receiver;
     Message message;
   };
-  std::deque<InFlightMessage> inFlight;  // all take a millisecond: in order
+  std::deque<InFlightMessage> inFlight;  // ordered by arrival, because each takes 1 ms
   CatchUpTimes result;
   const auto deliver = [&](unsigned sender, GossipProtocol::OutboundMessages outbound) {
     for (auto& outboundMessage : outbound) {
@@ -223,8 +224,9 @@
                   now, datagramInFlight.sender, fleet[datagramInFlight.sender].store->owner(),
                   datagramInFlight.message));
     }
-    for (unsigned item = 0; item < memberCount; ++item)
-      if (now >= fleet[item].gossip->nextRoundAt()) deliver(item, fleet[item].gossip->runRound(now));
+    for (unsigned memberIndex = 0; memberIndex < memberCount; ++memberIndex)
+      if (now >= fleet[memberIndex].gossip->nextRoundAt())
+        deliver(memberIndex, fleet[memberIndex].gossip->runRound(now));
     const std::size_t loadRecordCount = countRecords(kLoad);
     const double elapsedMs = std::chrono::duration<double, std::milli>(now).count();
     if (result.halfMs == 0 && 2 * loadRecordCount >= memberCount) result.halfMs = elapsedMs;
@@ -240,17 +242,15 @@
 
 bool compareDeltaOrders() {
   std::printf(
-      "\nA newcomer to 30 controllers of which the largest share 64 KB and 240 KB, simulated, 1 ms a\n"
-      "datagram, 5 seeds each: ms (median) until it has the small record of half of them, of nine in ten, "
-      "and\n"
-      "all; datagrams to it\n\n");
-  std::printf("%-8s %-8s %10s %12s %10s %10s\n", "largest", "order", "half", "nine in ten", "all",
-              "datagrams");
+      "\nSimulated: a new member joins 30 controllers, of which the largest publish 64 KB and 240 KB; 1 ms\n"
+      "per datagram, 5 seeds each: median ms until it has the load records of half of the owners, of 90 %%,\n"
+      "and all entries; datagrams sent to it\n\n");
+  std::printf("%-8s %-8s %10s %12s %10s %10s\n", "largest", "order", "half", "90 %", "all", "datagrams");
   bool passed = true;
   for (const std::size_t largestTableBytes : {std::size_t{64000}, std::size_t{240000}})
-    for (const auto& [name, order] : {std::pair{"least", gossip::DeltaOrder::smallestFirst},
+    for (const auto& [name, order] : {std::pair{"smallest", gossip::DeltaOrder::smallestFirst},
                                       {"newest", gossip::DeltaOrder::newestFirst},
-                                      {"depth", gossip::DeltaOrder::largestFirst}}) {
+                                      {"largest", gossip::DeltaOrder::largestFirst}}) {
       std::vector<double> halfMs, ninetyPercentMs, allMs, datagramCounts;
       for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         const CatchUpTimes times = simulateCatchUp(order, 30, largestTableBytes, seed);
@@ -273,13 +273,13 @@
                   unsigned roundCount) {
   raiseDescriptorLimit();
   std::printf(
-      "Controllers on loopback, period 200 ms, load records every 500 ms. ms until all sum the same: after\n"
-      "one job at one of them (news), after a partition of 3 s in two halves with jobs on both sides\n"
-      "(healed), from the start of one that was killed (restarted); bytes a second that each sends, idle "
-      "and\n"
-      "at 20 jobs a second each; what one holds\n\n");
-  std::printf("%8s %9s %9s %9s %9s %9s %9s %10s %10s %8s %8s\n", "members", "news p50", "max", "healed p50",
-              "max", "restarted", "max", "idle B/s", "loaded B/s", "entries", "bytes");
+      "Controllers on loopback, gossip period 200 ms, load records every 500 ms. ms until all report the\n"
+      "same total: after one request at one of them (update), after a partition of 3 s into two halves with\n"
+      "requests on both sides (heal), and from the start of one that was killed (restart); bytes per second\n"
+      "that each sends, idle and at 20 requests per second each; entries and bytes that one member "
+      "holds\n\n");
+  std::printf("%8s %9s %9s %9s %9s %9s %9s %10s %10s %8s %8s\n", "members", "upd. p50", "max", "heal p50",
+              "max", "rest. p50", "max", "idle B/s", "loaded B/s", "entries", "bytes");
   bool passed = true;
   int networkIndex = 171;
   for (const unsigned fleetSize : fleetSizes)
--- a/src/loadtest/multi_controller_simulation.hpp
+++ b/src/loadtest/multi_controller_simulation.hpp
@@ -1,5 +1,6 @@
-// Many controllers over one fleet in one process: the pure parts of the rebalancing, each controller with its
-// own clock, list and words of the others, under faults. Nothing is sent; time is counted in seconds.
+// Simulates the rebalancing of many controllers that share a fleet, under faults, within one process and
+// without I/O. Each controller has its own clock, endpoint list and reports of its peers. Time advances in
+// seconds.
 #pragma once
 
 #include <algorithm>
@@ -17,48 +18,48 @@
 
 struct MultiControllerOptions {
   unsigned controllerCount = 9, engineCount = 8, groupCount = 48;
-  bool requiresAgreement = true;  // else each follows the plan of its own view
+  bool requiresAgreement = true;  // otherwise each controller follows the plan of its own view
   int capacityShares = 2;
   int rebalanceThresholdPercent = 25;
-  int initialCapacityPercent = 120;  // per cent of what an engine holds at first, in the mean
-  int maxClockSkewSeconds = 0;       // seconds that clocks differ at most, each way
+  int initialCapacityPercent = 120;  // percent of the bytes that an engine holds initially on average
+  int maxClockSkewSeconds = 0;       // maximum deviation of a clock in either direction
   std::uint64_t seed = 1;
 };
 
 class MultiControllerSimulation {
  public:
   struct Statistics {
-    unsigned capacityViolations = 0;                // copies begun that an engine had no room for
-    unsigned replicasStarted = 0;                   // copies read anew
-    unsigned plansStarted = 0, plansCompleted = 0;  // counted at controllers
+    unsigned capacityViolations = 0;                // replicas started beyond the known capacity of an engine
+    unsigned replicasStarted = 0;                   // replicas that an engine began to read
+    unsigned plansStarted = 0, plansCompleted = 0;  // summed over the controllers
     rebalance::Bytes bytesMoved = 0;
-    std::map<rebalance::PlanOutcome, unsigned> planEnds;
-    unsigned unservedGroupSeconds = 0;  // seconds x groups without a holder that is ready
+    std::map<rebalance::PlanOutcome, unsigned> plansByOutcome;
+    unsigned unservedGroupSeconds = 0;  // seconds x groups without a ready holder
   };
 
   explicit MultiControllerSimulation(const MultiControllerOptions& options)
       : options_(options), random_(options.seed) {
-    for (unsigned value = 0; value < options.engineCount; ++value)
-      engines_.emplace_back().name = "s-" + std::to_string(100 + value);
-    for (unsigned item = 0; item < options.groupCount; ++item) {
+    for (unsigned index = 0; index < options.engineCount; ++index)
+      engines_.emplace_back().name = "s-" + std::to_string(100 + index);
+    for (unsigned group = 0; group < options.groupCount; ++group) {
       groups_.push_back({5 + drawBelow(40), 5 + drawBelow(60)});
-      Engine& engine = engines_[item % options.engineCount];
-      engine.lastReadByGroup[item] = 0;
+      Engine& engine = engines_[group % options.engineCount];
+      engine.lastReadByGroup[group] = 0;
     }
     for (Engine& engine : engines_)
       engine.capacity = engine.reportedCapacity = 6 * 25 * options.initialCapacityPercent / 100;
-    for (unsigned element = 0; element < options.controllerCount; ++element) {
-      controllers_.emplace_back().name = "c" + std::to_string(100 + element);
+    for (unsigned index = 0; index < options.controllerCount; ++index) {
+      controllers_.emplace_back().name = "c" + std::to_string(100 + index);
       controllers_.back().clockSkewSeconds =
           options.maxClockSkewSeconds > 0
               ? drawBelow(2 * options.maxClockSkewSeconds + 1) - options.maxClockSkewSeconds
               : 0;
-      restartController(element);
+      restartController(index);
       controllers_.back().endpointReport = buildEndpointReport();
     }
   }
 
-  // Faults.
+  // Faults and other events.
   void removeEngine(unsigned engineIndex) {
     engines_[engineIndex].state = EndpointState::removed, engines_[engineIndex].lastReadByGroup.clear();
   }
@@ -71,9 +72,8 @@
     engines_[engineIndex].capacity = engines_[engineIndex].capacity * percent / 100,
     engines_[engineIndex].shrunkAt = now_;
   }
-  void setPartition(std::function<unsigned(unsigned)> partitionOf) {
-    partitionOf_ = std::move(partitionOf);
-  }  // none: healed
+  /// Gossip reaches only controllers of the same partition. A null function heals the partition.
+  void setPartition(std::function<unsigned(unsigned)> partitionOf) { partitionOf_ = std::move(partitionOf); }
   void setStopped(unsigned controllerIndex, bool stopped) { controllers_[controllerIndex].stopped = stopped; }
   void setStaleEndpoints(unsigned controllerIndex, bool isStale) {
     controllers_[controllerIndex].usesStaleEndpoints = isStale;
@@ -82,15 +82,15 @@
     Controller& controller = controllers_[controllerIndex];
     controller.peerReports.clear();
     controller.agreement = std::make_unique<rebalance::PlanAgreement>(
-        options_.controllerCount, planningWindows_, toDuration(now_ + controller.clockSkewSeconds));
-    controller.planExecutor =
+        options_.controllerCount, epochSchedule_, toDuration(now_ + controller.clockSkewSeconds));
+    controller.planFollower =
         std::make_unique<rebalance::PlanFollower>(rebalance::MoveLimits{8, 2, std::chrono::seconds(8)});
     controller.snapshotEpoch = controller.plannedEpoch = 0;
   }
   template <typename RateFunction>
-  void updateReadRates(RateFunction rateFunction) {  // reading changes
-    for (unsigned value = 0; value < groups_.size(); ++value)
-      groups_[value].readRate = rateFunction(value, groups_[value].readRate);
+  void updateReadRates(RateFunction rateFunction) {
+    for (unsigned index = 0; index < groups_.size(); ++index)
+      groups_[index].readRate = rateFunction(index, groups_[index].readRate);
   }
 
   void advance(int durationSeconds) {
@@ -103,31 +103,33 @@
   }
   std::vector<unsigned> readyHolders(unsigned group) const {
     std::vector<unsigned> holderIndexes;
-    for (unsigned value = 0; value < engines_.size(); ++value)
-      if (isHeld(group, value) && engines_[value].state == EndpointState::ready)
-        holderIndexes.push_back(value);
+    for (unsigned index = 0; index < engines_.size(); ++index)
+      if (isHeld(group, index) && engines_[index].state == EndpointState::ready)
+        holderIndexes.push_back(index);
     return holderIndexes;
   }
-  const rebalance::PlanFollower& planExecutor(unsigned controllerIndex) const {
-    return *controllers_[controllerIndex].planExecutor;
+  const rebalance::PlanFollower& planFollower(unsigned controllerIndex) const {
+    return *controllers_[controllerIndex].planFollower;
   }
   rebalance::Bytes usedBytes(unsigned engineIndex) const {
     rebalance::Bytes totalBytes = 0;
-    for (const auto& [group, read] : engines_[engineIndex].lastReadByGroup) totalBytes += groups_[group].size;
+    for (const auto& [group, lastReadAt] : engines_[engineIndex].lastReadByGroup)
+      totalBytes += groups_[group].size;
     return totalBytes;
   }
 
  private:
-  static constexpr int kIdleReplicaTimeoutSeconds = 4;  // a copy that nobody reads goes after so many seconds
-  static constexpr int kCapacityReportDelaySeconds =
-      5;  // a capacity that has shrunk is known of after so many
+  // An engine drops a replica that is not read for this time.
+  static constexpr int kIdleReplicaTimeoutSeconds = 4;
+  // Time until a reduced capacity is reported.
+  static constexpr int kCapacityReportDelaySeconds = 5;
   struct Engine {
     std::string name;
     EndpointState state = EndpointState::ready;
     std::int64_t startedAt = 0;
     rebalance::Bytes capacity = 0, reportedCapacity = 0;
     int shrunkAt = -100;
-    std::map<unsigned, int> lastReadByGroup;  // and when it was last read
+    std::map<unsigned, int> lastReadByGroup;  // the groups held, each with the time of its last read
   };
   struct Group {
     rebalance::Bytes size = 0;
@@ -142,11 +144,11 @@
     std::string name;
     int clockSkewSeconds = 0;
     bool stopped = false, usesStaleEndpoints = false;
-    rebalance::ControllerReport endpointReport;  // the engines as it knows them
+    rebalance::ControllerReport endpointReport;  // the engines as this controller knows them
     std::map<std::string, PeerReport> peerReports;
     std::unique_ptr<rebalance::PlanAgreement> agreement;
-    std::unique_ptr<rebalance::PlanFollower> planExecutor;
-    std::uint64_t snapshotEpoch = 0, plannedEpoch = 0;  // epochs
+    std::unique_ptr<rebalance::PlanFollower> planFollower;
+    std::uint64_t snapshotEpoch = 0, plannedEpoch = 0;
   };
 
   static Duration toDuration(int durationSeconds) { return std::chrono::seconds(100'000 + durationSeconds); }
@@ -165,8 +167,8 @@
     for (unsigned group = 0; group < groups_.size(); ++group) {
       auto& groupReport = report.groups[group];
       groupReport.size = groups_[group].size;
-      groupReport.recentlyMoved = controller.planExecutor->isRecentlyMoved(
-          toDuration(now_), group, 3 * planningWindows_.epochDuration);
+      groupReport.recentlyMoved =
+          controller.planFollower->isRecentlyMoved(toDuration(now_), group, 3 * epochSchedule_.epochDuration);
       for (const Engine& engine : engines_)
         if (engine.lastReadByGroup.count(group) > 0 && engine.state != EndpointState::removed)
           groupReport.readsByEngine[engine.name] =
@@ -177,8 +179,8 @@
   std::map<std::string, rebalance::ControllerReport> collectReports(const Controller& controller,
                                                                     std::uint64_t epoch) const {
     std::map<std::string, rebalance::ControllerReport> reports;
-    for (const auto& [owner, word] : controller.peerReports)
-      if (word.epoch == epoch) reports[owner] = word.report;
+    for (const auto& [owner, peerReport] : controller.peerReports)
+      if (peerReport.epoch == epoch) reports[owner] = peerReport.report;
     return reports;
   }
 
@@ -188,39 +190,40 @@
       if (!controller.usesStaleEndpoints) controller.endpointReport = buildEndpointReport();
       runController(controller);
     }
-    for (unsigned value = 0; value < controllers_.size(); ++value) {  // anti-entropy with two peers
+    for (unsigned index = 0; index < controllers_.size(); ++index) {  // each gossips with two random peers
       for (int round = 0; round < 2; ++round) {
         const auto peerIndex = static_cast<unsigned>(drawBelow(static_cast<int>(controllers_.size())));
-        if (peerIndex == value || controllers_[value].stopped || controllers_[peerIndex].stopped) continue;
-        if (partitionOf_ && partitionOf_(value) != partitionOf_(peerIndex)) continue;
-        mergePeerReports(controllers_[value], controllers_[peerIndex]);
-        mergePeerReports(controllers_[peerIndex], controllers_[value]);
+        if (peerIndex == index || controllers_[index].stopped || controllers_[peerIndex].stopped) continue;
+        if (partitionOf_ && partitionOf_(index) != partitionOf_(peerIndex)) continue;
+        mergePeerReports(controllers_[index], controllers_[peerIndex]);
+        mergePeerReports(controllers_[peerIndex], controllers_[index]);
       }
     }
     readGroups();
   }
   static void mergePeerReports(Controller& target, const Controller& source) {
-    for (const auto& [owner, word] : source.peerReports) {
+    for (const auto& [owner, peerReport] : source.peerReports) {
       if (owner == target.name) continue;
       const auto entry = target.peerReports.find(owner);
-      if (entry == target.peerReports.end() || entry->second.version < word.version)
-        target.peerReports[owner] = word;
+      if (entry == target.peerReports.end() || entry->second.version < peerReport.version)
+        target.peerReports[owner] = peerReport;
     }
   }
 
   void runController(Controller& controller) {
     using namespace rebalance;
     const Duration wallClock = toDuration(now_ + controller.clockSkewSeconds);
-    const std::uint64_t epoch = planningWindows_.epochAt(wallClock);
+    const std::uint64_t epoch = epochSchedule_.epochAt(wallClock);
     PeerReport& ownReport = controller.peerReports[controller.name];
     if (ownReport.epoch < epoch) {
       ownReport.epoch = epoch, ownReport.report = buildReport(controller);
       ownReport.version = static_cast<std::uint64_t>(now_ + 1) * 4;
     }
-    for (const auto& [owner, word] : controller.peerReports)
-      if (owner != controller.name && word.promise) controller.agreement->onPromise(owner, *word.promise);
+    for (const auto& [owner, peerReport] : controller.peerReports)
+      if (owner != controller.name && peerReport.promise)
+        controller.agreement->onPromise(owner, *peerReport.promise);
     const bool isWithinWindow =
-        wallClock >= planningWindows_.snapshotAt(epoch) && wallClock < planningWindows_.epochDeadline(epoch);
+        wallClock >= epochSchedule_.snapshotAt(epoch) && wallClock < epochSchedule_.epochDeadline(epoch);
     if (isWithinWindow && controller.snapshotEpoch < epoch) {
       controller.snapshotEpoch = epoch;
       planningViews_[controller.name] = buildClusterView(collectReports(controller, epoch), {});
@@ -242,44 +245,46 @@
       Plan newPlan = computePlan(planningView, planOptions);
       if (!newPlan.moves.empty()) {
         ++statistics_.plansStarted;
-        controller.planExecutor->start(wallClock, planningView, std::move(newPlan),
-                                       planningWindows_.epochDeadline(epoch));
+        controller.planFollower->start(wallClock, planningView, std::move(newPlan),
+                                       epochSchedule_.epochDeadline(epoch));
       }
     }
-    if (controller.planExecutor->isActive()) {
+    if (controller.planFollower->isActive()) {
       std::map<std::string, ControllerReport> observedReports{{controller.name, buildReport(controller)}};
-      controller.planExecutor->update(wallClock, buildClusterView(observedReports, {}));
-      if (controller.planExecutor->isActive() &&
-          controller.planExecutor->completedMoveCount() == controller.planExecutor->plan().moves.size()) {
+      controller.planFollower->update(wallClock, buildClusterView(observedReports, {}));
+      if (controller.planFollower->isActive() &&
+          controller.planFollower->completedMoveCount() == controller.planFollower->plan().moves.size()) {
         ++statistics_.plansCompleted;
-        controller.planExecutor->abandon(PlanOutcome::completed);
+        controller.planFollower->abandon(PlanOutcome::completed);
       }
-      if (!controller.planExecutor->isActive()) ++statistics_.planEnds[controller.planExecutor->outcome()];
+      if (!controller.planFollower->isActive())
+        ++statistics_.plansByOutcome[controller.planFollower->outcome()];
     }
   }
 
-  // Each controller's jobs go where its plan says, else where a group is; a group that is nowhere is read
-  // without being kept.
+  // The requests of each controller read a group from the engines of its plan, otherwise from the current
+  // holders. A group without a holder is read without being kept.
   void readGroups() {
     for (Controller& controller : controllers_) {
       if (controller.stopped) continue;
       for (unsigned group = 0; group < groups_.size(); ++group) {
-        const std::vector<std::string>* plannedHomes =
-            controller.planExecutor->isActive() ? controller.planExecutor->preferredEngines(group) : nullptr;
+        const std::vector<std::string>* plannedEngines =
+            controller.planFollower->isActive() ? controller.planFollower->preferredEngines(group) : nullptr;
         for (unsigned engineIndex = 0; engineIndex < engines_.size(); ++engineIndex) {
-          Engine& engineRecord = engines_[engineIndex];
-          if (engineRecord.state == EndpointState::removed) continue;
-          const bool isPlannedHome = plannedHomes && std::find(plannedHomes->begin(), plannedHomes->end(),
-                                                               engineRecord.name) != plannedHomes->end();
-          const auto entry = engineRecord.lastReadByGroup.find(group);
-          if (entry != engineRecord.lastReadByGroup.end() && (isPlannedHome || !plannedHomes))
+          Engine& engine = engines_[engineIndex];
+          if (engine.state == EndpointState::removed) continue;
+          const bool isPlannedEngine =
+              plannedEngines &&
+              std::find(plannedEngines->begin(), plannedEngines->end(), engine.name) != plannedEngines->end();
+          const auto entry = engine.lastReadByGroup.find(group);
+          if (entry != engine.lastReadByGroup.end() && (isPlannedEngine || !plannedEngines))
             entry->second = now_;
-          if (entry != engineRecord.lastReadByGroup.end() || !isPlannedHome) continue;
-          engineRecord.lastReadByGroup[group] = now_;
+          if (entry != engine.lastReadByGroup.end() || !isPlannedEngine) continue;
+          engine.lastReadByGroup[group] = now_;
           ++statistics_.replicasStarted, statistics_.bytesMoved += groups_[group].size;
-          const rebalance::Bytes knownCapacity = now_ - engineRecord.shrunkAt < kCapacityReportDelaySeconds
-                                                     ? engineRecord.reportedCapacity
-                                                     : engineRecord.capacity;
+          const rebalance::Bytes knownCapacity = now_ - engine.shrunkAt < kCapacityReportDelaySeconds
+                                                     ? engine.reportedCapacity
+                                                     : engine.capacity;
           if (usedBytes(engineIndex) > knownCapacity) ++statistics_.capacityViolations;
         }
       }
@@ -295,7 +300,7 @@
 
   const MultiControllerOptions options_;
   std::mt19937_64 random_;
-  const rebalance::EpochSchedule planningWindows_{std::chrono::seconds(20), std::chrono::seconds(2)};
+  const rebalance::EpochSchedule epochSchedule_{std::chrono::seconds(20), std::chrono::seconds(2)};
   std::vector<Engine> engines_;
   std::vector<Group> groups_;
   std::vector<Controller> controllers_;
@@ -305,8 +310,9 @@
   Statistics statistics_;
 };
 
-// A story of chance: engines lost, drained, back cold, shrunk; controllers split, stopped, restarted, on an
-// old list. The same for every way of keeping plans apart.
+// Runs a random sequence of faults: engines are removed, drained, restarted without data or lose capacity,
+// and controllers are partitioned, stopped, restarted or use a stale endpoint list. The sequence depends on
+// the seed only, so that it is the same for every way of coordinating the plans.
 inline MultiControllerSimulation::Statistics runRandomFaults(const MultiControllerOptions& options,
                                                              int faultCount) {
   MultiControllerSimulation simulation(options);
@@ -314,7 +320,7 @@
   const auto drawBelow = [&](unsigned limit) { return static_cast<unsigned>(random() % limit); };
   simulation.advance(25);
   std::vector<unsigned> unavailableEngines;
-  for (int item = 0; item < faultCount; ++item) {
+  for (int fault = 0; fault < faultCount; ++fault) {
     switch (drawBelow(9)) {
       case 0:
       case 1:
--- a/src/loadtest/optimal_placement.cpp
+++ b/src/loadtest/optimal_placement.cpp
@@ -14,8 +14,10 @@
 
 namespace {
 
-struct PlacementContext {  // of the engines and copies
-  explicit PlacementContext(const ClusterView& view) : balance(view) {
+// What both functions derive from a view: the load limits, the eligible engines by group and the bytes held
+// by engine.
+struct PlacementContext {
+  explicit PlacementContext(const ClusterView& view) : loadBound(view) {
     for (const GroupSnapshot& group : view.groups) {
       std::vector<int> eligibleEngines;
       for (std::size_t index = 0; index < view.engines.size(); ++index)
@@ -27,7 +29,7 @@
     for (const GroupSnapshot& group : view.groups)
       for (const std::uint32_t holder : group.holders) heldBytes[holder] += group.size;
   }
-  const LoadLowerBound balance;
+  const LoadLowerBound loadBound;
   std::vector<std::vector<int>> allowedEngines;
   std::vector<Bytes> heldBytes;
 };
@@ -48,7 +50,7 @@
   const auto addEntry = [&](int row, int column, double value) {
     rows.push_back(row), columns.push_back(column), values.push_back(value);
   };
-  // Rows: of each engine its load and its room; of each group its copies.
+  // Two rows for each engine, its load and its capacity, and one row for each group, its number of replicas.
   const int engineCount = static_cast<int>(view.engines.size());
   glp_add_rows(problem, 2 * engineCount + static_cast<int>(view.groups.size()));
   for (int index = 0; index < engineCount; ++index) {
@@ -56,7 +58,7 @@
     const Bytes heldBytes = context.heldBytes[static_cast<std::size_t>(index)];
     const Bytes usableBytes = std::max<Bytes>(0, std::min(engine.capacity, heldBytes + engine.headroom));
     glp_set_row_bnds(problem, 2 * index + 1, GLP_UP, 0,
-                     static_cast<double>(context.balance.loadLimit(engine, options.maxOverloadPercent)));
+                     static_cast<double>(context.loadBound.loadLimit(engine, options.maxOverloadPercent)));
     glp_set_row_bnds(problem, 2 * index + 2, GLP_UP, 0, static_cast<double>(usableBytes));
   }
   for (std::size_t group = 0; group < view.groups.size(); ++group) {
@@ -92,8 +94,8 @@
   return static_cast<Bytes>(minimumBytes + 0.5);
 }
 
-// A state: of each group the engines that hold it. A step: a group comes to one more engine, or one of
-// several gives way. Loads are asked for at the end only.
+// A state is the set of holders of each group, one bit for each engine. A step adds a replica or drops one of
+// several. The load limits apply to goal states only.
 std::optional<bool> hasFeasibleMoveOrder(const ClusterView& view, const PlanOptions& options,
                                          std::size_t maxStates) {
   const PlacementContext context(view);
@@ -114,13 +116,14 @@
   const auto usableCapacity = [&](std::size_t engine) {
     return std::min(view.engines[engine].capacity, context.heldBytes[engine] + view.engines[engine].headroom);
   };
-  // Good: homes among the holders that keep the bound. Each group's homes are chosen by search.
+  // A goal state allows choosing replicas among the holders within the load limits, which is decided by
+  // search.
   const auto isGoal = [&](const HolderState& state) {
     for (std::size_t engine = 0; engine < view.engines.size(); ++engine)
       if (view.engines[engine].state == EndpointState::ready &&
           usedBytes(state, engine) > usableCapacity(engine))
         return false;
-    std::vector<std::int64_t> loadGenerator(view.engines.size());
+    std::vector<std::int64_t> engineLoads(view.engines.size());
     const auto assignFrom = [&](auto&& self, std::size_t group, int firstEngine,
                                 std::size_t assignedCopies) -> bool {
       if (group == state.size()) return true;
@@ -133,12 +136,12 @@
             std::find(allowed.begin(), allowed.end(), engine) == allowed.end())
           continue;
         const std::int64_t loadShare = readRatePerReplica(view.groups[group], allowed.size());
-        if (loadGenerator[engineIndex] + loadShare >
-            context.balance.loadLimit(view.engines[engineIndex], options.maxOverloadPercent))
+        if (engineLoads[engineIndex] + loadShare >
+            context.loadBound.loadLimit(view.engines[engineIndex], options.maxOverloadPercent))
           continue;
-        loadGenerator[engineIndex] += loadShare;
+        engineLoads[engineIndex] += loadShare;
         const bool found = self(self, group, engine + 1, assignedCopies + 1);
-        loadGenerator[engineIndex] -= loadShare;
+        engineLoads[engineIndex] -= loadShare;
         if (found) return true;
       }
       return false;
--- a/src/loadtest/optimal_placement.hpp
+++ b/src/loadtest/optimal_placement.hpp
@@ -1,4 +1,5 @@
-// The least bytes by GLPK, to hold the planner against. Only in the rig and the tests.
+// Reference solutions by GLPK and by exhaustive search, to check the placement solver against. Used by the
+// load test and the tests only.
 #pragma once
 
 #include <optional>
@@ -7,13 +8,15 @@
 
 namespace paddletrack::loadtest {
 
-// The least bytes that any homes within the bound and every engine's room take, their order left aside; none:
-// no homes are. Throws std::runtime_error where it ends without an answer.
+/// The minimum number of bytes that must be copied to reach any placement within the load limit and the
+/// usable capacity of every engine, regardless of the order of the moves. Returns std::nullopt if no such
+/// placement exists. Throws std::runtime_error if GLPK ends without an answer.
 std::optional<rebalance::Bytes> computeMinimumBytes(const rebalance::ClusterView& view,
                                                     const rebalance::PlanOptions& options);
 
-// Whether any order of moves, stops on the way and all, leads to homes within the bound and never over an
-// engine's headroom, by looking at every state that can be reached; none: more than `most` of them.
+/// Whether any order of moves, including detours over other engines, leads to a placement within the load
+/// limit without ever exceeding an engine's headroom. Visits every reachable state. Returns std::nullopt if
+/// there are more than `maxStates` of them, more than 32 engines, or a headroom divisor other than 1.
 std::optional<bool> hasFeasibleMoveOrder(const rebalance::ClusterView& view,
                                          const rebalance::PlanOptions& options, std::size_t maxStates);
 
--- a/src/loadtest/placement_effect.cpp
+++ b/src/loadtest/placement_effect.cpp
@@ -1,4 +1,5 @@
-// Data read again and jobs in time over a drain and a join of three in ten engines, with and without plans.
+// Compares runs with and without placement plans while three of ten engines drain and three new ones join:
+// the bytes that engines read again, and the share of requests that finish in time.
 #include <unistd.h>
 
 #include <cstdio>
@@ -12,9 +13,9 @@
 constexpr std::uint64_t kGroupBytes = 64 << 20;
 
 struct RunResult {
-  double rereadGb = 0, inTimeRatio = 0;  // GB, share
-  std::uint64_t requests = 0, lost = 0, doubled = 0, completed = 0, executedTwice = 0;
-  std::uint64_t planLogLines = 0;  // plans told in a log
+  double rereadGb = 0, inTimeRatio = 0;  // gigabytes; share of requests
+  std::uint64_t requests = 0, lost = 0, duplicateAnswers = 0, completed = 0, executedTwice = 0;
+  std::uint64_t planLogLines = 0;  // log lines of the first controller that report the moves of a plan
 };
 
 RunResult runPlacement(const std::string& controllerProgram, bool plansEnabled, int networkIndex,
@@ -28,8 +29,8 @@
     if (engineIndex >= kInitialEngineCount) endpoint.state = "left";
   };
   std::vector<std::string> peers;
-  for (unsigned value = 0; value < kControllerCount; ++value)
-    peers.push_back("127.0." + std::to_string(networkIndex) + "." + std::to_string(200 + value) + ":19446");
+  for (unsigned index = 0; index < kControllerCount; ++index)
+    peers.push_back("127.0." + std::to_string(networkIndex) + "." + std::to_string(200 + index) + ":19446");
   options.operatorConfigOf = [=](unsigned controllerIndex) {
     if (!plansEnabled) return std::string();
     std::string peerList;
@@ -40,26 +41,25 @@
            std::to_string(kGroupBytes >> 20) + "MiB\"\n  period = \"4s\"\n  guard = \"200ms\"\n}\n";
   };
   fakes::FakeFleet fleet(loop, loop.outputBudget, options);
-  for (unsigned item = 0; item < options.engines; ++item)
-    fleet.engine(item).configureCache({10, kGroupBytes, std::chrono::milliseconds(120)});
+  for (unsigned index = 0; index < options.engines; ++index)
+    fleet.engine(index).configureCache({10, kGroupBytes, std::chrono::milliseconds(120)});
   fakes::LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.frontAddresses(), 5);
-  std::vector<fakes::LoadGenerator::RequestProfile> kinds;
+  std::vector<fakes::LoadGenerator::RequestProfile> profiles;
   for (unsigned group = 1; group <= kGroupCount; ++group) {
-    fakes::LoadGenerator::RequestProfile kind = fakes::FakeFleet::lookUpProfile(1.0 / (5 + group));
-    kind.tableGroup = group;
-    kinds.push_back(kind);
+    fakes::LoadGenerator::RequestProfile profile = fakes::FakeFleet::lookUpProfile(1.0 / (5 + group));
+    profile.tableGroup = group;
+    profiles.push_back(profile);
   }
   loop.runUntil([&] {
-    for (unsigned element = 0; element < kControllerCount; ++element)
-      if (!loadGenerator.isInService(element)) return false;
+    for (unsigned index = 0; index < kControllerCount; ++index)
+      if (!loadGenerator.isInService(index)) return false;
     return true;
   });
-  loadGenerator.start(requestsPerSecond, kinds);
+  loadGenerator.start(requestsPerSecond, profiles);
   loop.runFor(3 * phaseDuration);
   const auto totalBytesRead = [&] {
     std::uint64_t totalBytes = 0;
-    for (unsigned element = 0; element < options.engines; ++element)
-      totalBytes += fleet.engine(element).bytesRead();
+    for (unsigned index = 0; index < options.engines; ++index) totalBytes += fleet.engine(index).bytesRead();
     return totalBytes;
   };
   const std::uint64_t bytesBefore = totalBytesRead();
@@ -77,17 +77,17 @@
                std::chrono::system_clock::now().time_since_epoch())
         .count();
   };
-  std::vector<fakes::FakeEndpointList::Endpoint> endpoint;
-  for (unsigned element = 0; element < kNewEngineCount; ++element)
-    endpoint.push_back(makeEndpoint(element, "leaving", 0));
-  fleet.endpointList().publish(endpoint);
+  std::vector<fakes::FakeEndpointList::Endpoint> changedEndpoints;
+  for (unsigned index = 0; index < kNewEngineCount; ++index)
+    changedEndpoints.push_back(makeEndpoint(index, "leaving", 0));
+  fleet.endpointList().publish(changedEndpoints);
   loop.runFor(2 * phaseDuration);
-  endpoint.clear();
-  for (unsigned entry = 0; entry < kNewEngineCount; ++entry) {
-    endpoint.push_back(makeEndpoint(entry, "left", 0));
-    endpoint.push_back(makeEndpoint(kInitialEngineCount + entry, "active", nowMs()));
+  changedEndpoints.clear();
+  for (unsigned index = 0; index < kNewEngineCount; ++index) {
+    changedEndpoints.push_back(makeEndpoint(index, "left", 0));
+    changedEndpoints.push_back(makeEndpoint(kInitialEngineCount + index, "active", nowMs()));
   }
-  fleet.endpointList().publish(endpoint);
+  fleet.endpointList().publish(changedEndpoints);
   loop.runFor(2 * phaseDuration);
   RunResult result;
   result.rereadGb = static_cast<double>(totalBytesRead() - bytesBefore) / 1e9;
@@ -103,7 +103,8 @@
   }
   result.inTimeRatio =
       static_cast<double>(inTimeCount) / static_cast<double>(std::max<std::uint64_t>(1, result.requests));
-  result.lost = loadGenerator.counters().lost, result.doubled = loadGenerator.counters().duplicateAnswers,
+  result.lost = loadGenerator.counters().lost,
+  result.duplicateAnswers = loadGenerator.counters().duplicateAnswers,
   result.executedTwice = fleet.duplicateRunCount();
   std::ifstream log(fleet.logPath(0));
   for (std::string line; std::getline(log, line);) {
@@ -119,11 +120,11 @@
 int measurePlacementEffect(const std::string& controllerProgram, unsigned roundCount,
                            double requestsPerSecond, unsigned phaseSeconds) {
   std::printf(
-      "%u controllers, %u engines of which %u drain and %u new ones join, %u groups of 64 MiB, 10 kept "
-      "warm\n",
+      "%u controllers, %u engines of which %u drain and %u new ones join, %u groups of 64 MiB; an engine "
+      "caches 10\n",
       kControllerCount, kInitialEngineCount, kNewEngineCount, kNewEngineCount, kGroupCount);
-  std::printf("%-6s %10s %10s %8s %8s %6s %8s %10s %7s\n", "plans", "GB again", "in time", "jobs", "done",
-              "lost", "doubled", "ran twice", "told");
+  std::printf("%-6s %10s %10s %8s %9s %6s %10s %10s %9s\n", "plans", "GB reread", "in time", "requests",
+              "completed", "lost", "dup. reply", "run twice", "plan logs");
   double rereadWithoutPlans = 0, rereadWithPlans = 0, inTimeWithoutPlans = 0, inTimeWithPlans = 0;
   bool passed = true;
   for (unsigned round = 0; round < roundCount; ++round)
@@ -131,19 +132,19 @@
       const RunResult result = runPlacement(controllerProgram, plansEnabled,
                                             90 + static_cast<int>(2 * round + (plansEnabled ? 1 : 0)) % 20,
                                             requestsPerSecond, std::chrono::seconds(phaseSeconds));
-      std::printf("%-6s %10.2f %10.4f %8llu %8llu %6llu %8llu %10llu %7llu\n", plansEnabled ? "on" : "off",
+      std::printf("%-6s %10.2f %10.4f %8llu %9llu %6llu %10llu %10llu %9llu\n", plansEnabled ? "on" : "off",
                   result.rereadGb, result.inTimeRatio, static_cast<unsigned long long>(result.requests),
                   static_cast<unsigned long long>(result.completed),
                   static_cast<unsigned long long>(result.lost),
-                  static_cast<unsigned long long>(result.doubled),
+                  static_cast<unsigned long long>(result.duplicateAnswers),
                   static_cast<unsigned long long>(result.executedTwice),
                   static_cast<unsigned long long>(result.planLogLines));
       std::fflush(stdout);
       (plansEnabled ? rereadWithPlans : rereadWithoutPlans) += result.rereadGb;
       (plansEnabled ? inTimeWithPlans : inTimeWithoutPlans) += result.inTimeRatio;
-      passed = passed && result.lost == 0 && result.doubled == 0;
+      passed = passed && result.lost == 0 && result.duplicateAnswers == 0;
     }
-  std::printf("read again with plans: %.2f of what it is without; in time %+.4f\n",
+  std::printf("bytes read again with plans: %.2f of those without; share in time %+.4f\n",
               rereadWithPlans / std::max(rereadWithoutPlans, 1e-9),
               (inTimeWithPlans - inTimeWithoutPlans) / roundCount);
   return passed && rereadWithPlans <= rereadWithoutPlans / 2 &&
--- a/src/loadtest/random_fleet.hpp
+++ b/src/loadtest/random_fleet.hpp
@@ -1,4 +1,4 @@
-// Random fleets for the planner's proofs, from a seed.
+// Random cluster views, determined by a seed, to test the placement solver with.
 #pragma once
 
 #include <algorithm>
@@ -11,76 +11,76 @@
 struct RandomFleetOptions {
   int minEngines = 3, maxEngines = 6;
   int minGroups = 4, maxGroups = 12;
-  double maxCapacityRatio = 0.7;   // of all room, taken by groups, at most
-  double constrainedRatio = 0.25;  // of groups are bound to a location or a kind
-  double replicatedRatio = 0.15;   // of groups are wanted twice
+  double maxCapacityRatio = 0.7;   // groups' share of the total capacity, at most
+  double constrainedRatio = 0.25;  // share of groups restricted to some zones or machine types
+  double replicatedRatio = 0.15;   // share of groups with two replicas
 };
 
-// A fleet in which groups lie where they may, then some engines drain, are lost, or come empty.
+// A fleet whose groups are held mostly by engines that may hold them. Some engines are then draining,
+// removed, or restarted without data.
 inline rebalance::ClusterView makeRandomFleet(std::uint64_t seed, const RandomFleetOptions& options = {}) {
   using namespace rebalance;
   std::mt19937_64 random(seed);
   const auto drawBetween = [&](int min, int max) {
     return min + static_cast<int>(random() % static_cast<std::uint64_t>(max - min + 1));
   };
-  const auto happensWithChance = [&](double chance) {
-    return static_cast<double>(random() >> 11) * 0x1p-53 < chance;
-  };
+  const auto drawBool = [&](double chance) { return static_cast<double>(random() >> 11) * 0x1p-53 < chance; };
   ClusterView view;
   const int engineCount = drawBetween(options.minEngines, options.maxEngines);
   const int groupCount = drawBetween(options.minGroups, options.maxGroups);
   for (int index = 0; index < engineCount; ++index) {
     EngineSnapshot engine;
     engine.name = "s-" + std::to_string(1000 + index);
-    engine.weight = happensWithChance(0.3) ? 16 : 8;
+    engine.weight = drawBool(0.3) ? 16 : 8;
     engine.zone = static_cast<unsigned>(index % 3), engine.machineType = static_cast<unsigned>(index % 2);
     view.engines.push_back(engine);
   }
   Bytes totalBytes = 0;
   std::vector<Bytes> heldBytes(view.engines.size());
-  for (int item = 0; item < groupCount; ++item) {
+  for (int groupIndex = 0; groupIndex < groupCount; ++groupIndex) {
     GroupSnapshot group;
-    group.groupId = static_cast<std::uint32_t>(item + 1);
+    group.groupId = static_cast<std::uint32_t>(groupIndex + 1);
     group.size = drawBetween(1, 20) * drawBetween(1, 10);
     group.readRate = drawBetween(1, 30) * drawBetween(1, 30);
-    if (happensWithChance(options.replicatedRatio)) group.wantedReplicas = 2;
-    if (happensWithChance(options.constrainedRatio)) {
-      if (happensWithChance(0.5))
+    if (drawBool(options.replicatedRatio)) group.wantedReplicas = 2;
+    if (drawBool(options.constrainedRatio)) {
+      if (drawBool(0.5))
         group.allowedZones = std::vector<unsigned>{0U, 1U};
       else
-        group.allowedMachineTypes = std::vector<unsigned>{static_cast<unsigned>(item % 2)};
+        group.allowedMachineTypes = std::vector<unsigned>{static_cast<unsigned>(groupIndex % 2)};
     }
-    for (unsigned remainingCopies = happensWithChance(0.1) ? 2 : group.wantedReplicas; remainingCopies > 0;
+    for (unsigned remainingCopies = drawBool(0.1) ? 2 : group.wantedReplicas; remainingCopies > 0;
          --remainingCopies) {
       const auto engineIndex = static_cast<std::uint32_t>(drawBetween(0, engineCount - 1));
       if (std::find(group.holders.begin(), group.holders.end(), engineIndex) != group.holders.end()) continue;
-      if (!canHold(group, view.engines[engineIndex]) && !happensWithChance(0.1)) continue;
+      if (!canHold(group, view.engines[engineIndex]) && !drawBool(0.1)) continue;
       group.holders.push_back(engineIndex);
       heldBytes[engineIndex] += group.size;
     }
     totalBytes += group.size * group.wantedReplicas;
     view.groups.push_back(group);
   }
-  const double capacityPerEngine = static_cast<double>(totalBytes) / options.maxCapacityRatio / engineCount *
-                                   (happensWithChance(0.5) ? 1.0 : 2.0);
-  for (std::size_t element = 0; element < view.engines.size(); ++element) {
-    EngineSnapshot& engine = view.engines[element];
+  const double capacityPerEngine =
+      static_cast<double>(totalBytes) / options.maxCapacityRatio / engineCount * (drawBool(0.5) ? 1.0 : 2.0);
+  for (std::size_t engineIndex = 0; engineIndex < view.engines.size(); ++engineIndex) {
+    EngineSnapshot& engine = view.engines[engineIndex];
     engine.capacity =
-        std::max<Bytes>(heldBytes[element], static_cast<Bytes>(capacityPerEngine) + drawBetween(0, 40));
-    engine.headroom = engine.capacity - heldBytes[element];
-    if (happensWithChance(0.1)) engine.headroom -= drawBetween(1, 20);
-    if (happensWithChance(0.15)) engine.state = EndpointState::draining;
-    if (happensWithChance(0.1)) engine.state = EndpointState::removed;
-    if (happensWithChance(0.15)) {  // come empty
+        std::max<Bytes>(heldBytes[engineIndex], static_cast<Bytes>(capacityPerEngine) + drawBetween(0, 40));
+    engine.headroom = engine.capacity - heldBytes[engineIndex];
+    if (drawBool(0.1)) engine.headroom -= drawBetween(1, 20);
+    if (drawBool(0.15)) engine.state = EndpointState::draining;
+    if (drawBool(0.1)) engine.state = EndpointState::removed;
+    if (drawBool(0.15)) {  // restarted without data
       engine.warmingUp = true, engine.headroom = engine.capacity, engine.state = EndpointState::ready;
-      for (GroupSnapshot& group : view.groups) std::erase(group.holders, static_cast<std::uint32_t>(element));
+      for (GroupSnapshot& group : view.groups)
+        std::erase(group.holders, static_cast<std::uint32_t>(engineIndex));
     }
   }
   return canonicalize(std::move(view));
 }
 
-// As many as asked for, with room to spare, after a tenth has drained, a twentieth was lost, a tenth came
-// cold.
+// A fleet of the given size with spare capacity, of which a tenth of the engines is draining, a twentieth is
+// removed, and a tenth has restarted without data.
 inline rebalance::ClusterView makeLargeFleet(std::uint64_t seed, int engineCount, int groupCount) {
   using namespace rebalance;
   std::mt19937_64 random(seed);
@@ -91,9 +91,9 @@
     view.engines.push_back({"s-" + std::to_string(100000 + index), 0, 0, drawBelow(3) == 0 ? 16 : 8,
                             EndpointState::ready, false, static_cast<unsigned>(index % 3),
                             static_cast<unsigned>(index % 2)});
-  for (int item = 0; item < groupCount; ++item) {
+  for (int groupIndex = 0; groupIndex < groupCount; ++groupIndex) {
     GroupSnapshot group;
-    group.groupId = static_cast<std::uint32_t>(item + 1);
+    group.groupId = static_cast<std::uint32_t>(groupIndex + 1);
     group.size = (1 + drawBelow(20)) * (1 + drawBelow(20)) << 20;
     group.readRate = (1 + drawBelow(30)) * (1 + drawBelow(30));
     if (drawBelow(20) == 0) group.wantedReplicas = 2;
@@ -108,17 +108,18 @@
     view.groups.push_back(group);
   }
   Bytes meanBytes = 0;
-  for (const Bytes heldByte : heldBytes) meanBytes += heldByte / engineCount;
-  for (std::size_t element = 0; element < view.engines.size(); ++element) {
-    EngineSnapshot& engine = view.engines[element];
-    engine.capacity = std::max(heldBytes[element] + heldBytes[element] / 4, meanBytes * 3 / 2);
-    engine.headroom = engine.capacity - heldBytes[element];
+  for (const Bytes engineBytes : heldBytes) meanBytes += engineBytes / engineCount;
+  for (std::size_t engineIndex = 0; engineIndex < view.engines.size(); ++engineIndex) {
+    EngineSnapshot& engine = view.engines[engineIndex];
+    engine.capacity = std::max(heldBytes[engineIndex] + heldBytes[engineIndex] / 4, meanBytes * 3 / 2);
+    engine.headroom = engine.capacity - heldBytes[engineIndex];
     const auto eventDraw = drawBelow(20);
     if (eventDraw < 2) engine.state = EndpointState::draining;
     if (eventDraw == 2) engine.state = EndpointState::removed;
     if (eventDraw < 3 || eventDraw > 4) continue;
     engine.warmingUp = true, engine.headroom = engine.capacity;
-    for (GroupSnapshot& group : view.groups) std::erase(group.holders, static_cast<std::uint32_t>(element));
+    for (GroupSnapshot& group : view.groups)
+      std::erase(group.holders, static_cast<std::uint32_t>(engineIndex));
   }
   return canonicalize(std::move(view));
 }
--- a/src/loadtest/rebalance.cpp
+++ b/src/loadtest/rebalance.cpp
@@ -40,7 +40,7 @@
     const bool isComplete = newPlan.isComplete();
     if (!minimum) {
       ++infeasibleCount;
-      if (isComplete) ++belowOptimumCount;  // it can't be
+      if (isComplete) ++belowOptimumCount;  // contradicts GLPK
       continue;
     }
     ++feasibleCount;
@@ -50,9 +50,9 @@
         ++provenInfeasibleCount;
       } else {
         feasibleOrder ? ++missedCount : ++undecidedCount;
-        std::printf("seed %u: balanced %d, homeless %zu, put off %zu: %s\n", seed, newPlan.isBalanced,
-                    newPlan.unplacedReplicas, newPlan.deferredMoves,
-                    feasibleOrder ? "an order exists" : "too many states to tell");
+        std::printf("seed %u: balanced %d, unplaced replicas %zu, deferred moves %zu: %s\n", seed,
+                    newPlan.isBalanced, newPlan.unplacedReplicas, newPlan.deferredMoves,
+                    feasibleOrder ? "a move order exists" : "too many states to decide");
       }
       continue;
     }
@@ -65,16 +65,18 @@
         detourBytes += newPlan.detourBytes;
   }
   const unsigned comparedCount = feasibleCount - missedCount - provenInfeasibleCount - undecidedCount;
-  std::printf("%u random fleets of 3 to 6 engines and 4 to 12 groups; homes within the bound exist in %u\n",
-              fleetCount, feasibleCount);
-  std::printf("whole plans %u; no order of moves exists %u (proven by all states), missed %u, not known %u\n",
-              comparedCount, provenInfeasibleCount, missedCount, undecidedCount);
   std::printf(
-      "bytes over the least: mean of fleets %.2f %%, of all bytes %.2f %%, worst fleet %.0f %%; equal in %u; "
-      "below the least or whole where none is: %u\n",
+      "%u random fleets of 3 to 6 engines and 4 to 12 groups; %u have a placement within the load limit\n",
+      fleetCount, feasibleCount);
+  std::printf(
+      "complete plans %u; no move order exists %u (proven by exhaustive search), missed %u, undecided %u\n",
+      comparedCount, provenInfeasibleCount, missedCount, undecidedCount);
+  std::printf(
+      "bytes above the minimum: mean of fleets %.2f %%, of all bytes %.2f %%, worst fleet %.0f %%; equal in "
+      "%u; below the minimum or complete where no placement exists: %u\n",
       100 * gapSum / std::max(1U, comparedCount), 100 * (plannedBytes / std::max(1.0, minimumBytes) - 1),
       100 * worstGap, equalCount, belowOptimumCount);
-  std::printf("bytes of detours %lld of %.0f; mean time: plan %.3f ms, GLPK %.3f ms\n\n",
+  std::printf("detour bytes %lld of %.0f; mean time: plan %.3f ms, GLPK %.3f ms\n\n",
               static_cast<long long>(detourBytes), plannedBytes, planningMs / fleetCount,
               solverMs / fleetCount);
   return missedCount == 0 && undecidedCount == 0 && belowOptimumCount == 0 &&
@@ -82,7 +84,7 @@
 }
 #endif
 
-// The most that this process ever had resident, in MB.
+// The peak resident memory of this process in MB.
 double readPeakResidentMb() {
   std::ifstream file("/proc/self/status");
   for (std::string line, key; std::getline(file, line);) {
@@ -92,40 +94,41 @@
   return 0;
 }
 
-// From below: what is forced, and what each engine over the bound has to give away if groups could be cut.
+// A lower bound of the bytes that a plan copies: the forced moves, and what each engine above its load limit
+// would have to move if groups could be split.
 Bytes computeLowerBoundBytes(const ClusterView& view, Bytes forcedBytes) {
   const LoadLowerBound balance(view);
   double lowerBound = 0;
   for (std::uint32_t engine = 0; engine < view.engines.size(); ++engine) {
     if (view.engines[engine].state != EndpointState::ready) continue;
-    std::vector<std::pair<double, double>> groupLoads;  // bytes for each unit of load, load
-    double loadGenerator = 0;
+    std::vector<std::pair<double, double>> groupLoads;  // bytes per unit of load, and the load
+    double engineLoad = 0;
     for (const GroupSnapshot& group : view.groups) {
       if (!std::binary_search(group.holders.begin(), group.holders.end(), engine)) continue;
       const auto loadShare = static_cast<double>(readRatePerReplica(group, group.wantedReplicas));
       groupLoads.emplace_back(static_cast<double>(group.size) / loadShare, loadShare);
-      loadGenerator += loadShare;
+      engineLoad += loadShare;
     }
-    double excessLoad = loadGenerator - static_cast<double>(balance.loadLimit(
-                                            view.engines[engine], PlanOptions{}.maxOverloadPercent));
+    double excessLoad = engineLoad - static_cast<double>(balance.loadLimit(view.engines[engine],
+                                                                           PlanOptions{}.maxOverloadPercent));
     std::sort(groupLoads.begin(), groupLoads.end());
-    for (const auto& [bytes, part] : groupLoads) {
+    for (const auto& [bytes, loadShare] : groupLoads) {
       if (excessLoad <= 0) break;
-      lowerBound += bytes * std::min(excessLoad, part);
-      excessLoad -= part;
+      lowerBound += bytes * std::min(excessLoad, loadShare);
+      excessLoad -= loadShare;
     }
   }
   return forcedBytes + static_cast<Bytes>(lowerBound);
 }
 
-// One row, in a process of its own for its memory.
+// Measures and prints one row in a child process, so that its memory is measured separately.
 bool measurePlanCost(int engineCount, int groupCount) {
   std::fflush(stdout);
   const pid_t child = ::fork();
   if (child == 0) {
     const ClusterView view = makeLargeFleet(7, engineCount, groupCount);
     ::malloc_trim(0);
-    std::ofstream("/proc/self/clear_refs") << "5";  // the peak counts from now
+    std::ofstream("/proc/self/clear_refs") << "5";  // resets the peak
     const double memoryBeforeMb = readResidentMemory(::getpid()).totalMb;
     const auto startedAt = transport::Clock::now();
     const Plan newPlan = computePlan(view, {});
@@ -147,7 +150,7 @@
 
 bool measureScaling() {
   std::printf("%8s %8s %9s %10s %7s %9s %9s %10s %8s %9s %8s\n", "engines", "groups", "plan ms", "memory MB",
-              "moves", "GB", "forced", "from below", "over %", "left out", "balanced");
+              "moves", "GB", "forced", "bound GB", "excess %", "deferred", "balanced");
   bool passed = true;
   for (const auto& [engines, groups] : {std::pair{10, 100},
                                         {30, 300},
@@ -163,11 +166,11 @@
   return passed;
 }
 
-// Ways of keeping plans of different views apart, over the same stories of chance.
+// Compares ways of coordinating plans that are computed from different views, over the same random faults.
 bool measureAgreement(unsigned runCount) {
-  std::printf("%u stories of 30 faults each, 9 controllers, 8 engines, 48 groups\n", runCount);
-  std::printf("%-34s %8s %8s %8s %10s %8s %10s\n", "way", "plans", "done", "copies", "bytes", "over",
-              "unserved");
+  std::printf("%u random sequences of 30 faults each, 9 controllers, 8 engines, 48 groups\n", runCount);
+  std::printf("%-34s %8s %8s %8s %10s %8s %10s\n", "coordination", "plans", "complete", "copies", "bytes",
+              "over cap", "unserved");
   bool passed = true;
   struct CoordinationMode {
     const char* name;
@@ -178,10 +181,10 @@
   for (const CoordinationMode& mode : {CoordinationMode{"none", false, 1, 0, false},
                                        {"halves", false, 2, 0, false},
                                        {"agreement", true, 1, 0, true},
-                                       {"agreement, clocks 1 s off", true, 1, 1, true},
-                                       {"agreement, clocks 5 s off", true, 1, 5, false},
+                                       {"agreement, clock skew 1 s", true, 1, 1, true},
+                                       {"agreement, clock skew 5 s", true, 1, 5, false},
                                        {"agreement, halves", true, 2, 0, true},
-                                       {"agreement, halves, clocks 5 s off", true, 2, 5, false}}) {
+                                       {"agreement, halves, clock skew 5 s", true, 2, 5, false}}) {
     MultiControllerSimulation::Statistics totals;
     for (unsigned seed = 1; seed <= runCount; ++seed) {
       MultiControllerOptions options;
@@ -203,22 +206,25 @@
   return passed;
 }
 
-// Ten losses and joins in a row, reading up or down by a tenth in between; each plan is followed to its end.
+// Counts of simulateEngineChanges(). A move is voluntary if the group still has a holder. A returned move is
+// a voluntary move to an engine that a voluntary move has left before.
 struct MoveStatistics {
-  unsigned moves = 0, voluntaryMoves = 0,
-           returnedMoves = 0;  // back: both to an engine and away from it of a plan's own will
+  unsigned moves = 0, voluntaryMoves = 0, returnedMoves = 0;
   Bytes bytesMoved = 0, minimumBytes = 0;
 };
-MoveStatistics simulateEngineChanges(std::uint64_t seed, int thresholdPercent, bool restsMovedGroups,
+
+// Removes and adds ten engines in turn. Read rates change by up to a tenth in between, and each plan is
+// carried out completely.
+MoveStatistics simulateEngineChanges(std::uint64_t seed, int thresholdPercent, bool avoidsRecentMoves,
                                      bool placesFromScratch) {
   std::mt19937_64 random(seed);
   ClusterView view;
   for (int index = 0; index < 10; ++index)
     view.engines.push_back(
         {"s-" + std::to_string(100 + index), 3000, 3000, 8, EndpointState::ready, false, 0, 0});
-  for (std::uint32_t value = 0; value < 100; ++value) {
+  for (std::uint32_t groupIndex = 0; groupIndex < 100; ++groupIndex) {
     GroupSnapshot& group = view.groups.emplace_back();
-    group.groupId = value + 1;
+    group.groupId = groupIndex + 1;
     group.size = 20 + static_cast<Bytes>(random() % 200);
     group.readRate = 100 + static_cast<std::int64_t>(random() % 900);
   }
@@ -239,16 +245,16 @@
         group.readRate = group.readRate * static_cast<std::int64_t>(90 + random() % 21) / 100;
       }
     }
-    for (std::uint32_t item = 0; item < view.engines.size(); ++item) {
-      view.engines[item].headroom = view.engines[item].capacity;
+    for (std::uint32_t index = 0; index < view.engines.size(); ++index) {
+      view.engines[index].headroom = view.engines[index].capacity;
       for (const GroupSnapshot& group : view.groups)
-        if (std::count(group.holders.begin(), group.holders.end(), item) > 0)
-          view.engines[item].headroom -= group.size;
+        if (std::count(group.holders.begin(), group.holders.end(), index) > 0)
+          view.engines[index].headroom -= group.size;
     }
-    for (std::size_t element = 0; element < view.groups.size(); ++element)
-      view.groups[element].recentlyMoved = restsMovedGroups && event - movedAtEvent[element] <= 3;
+    for (std::size_t group = 0; group < view.groups.size(); ++group)
+      view.groups[group].recentlyMoved = avoidsRecentMoves && event - movedAtEvent[group] <= 3;
     ClusterView planningView = view;
-    if (placesFromScratch)  // as if nothing were held anywhere: what a placement from nothing would do
+    if (placesFromScratch)  // as if no engine held any group
       for (GroupSnapshot& group : planningView.groups) group.holders.clear();
     for (EngineSnapshot& engine : planningView.engines)
       if (placesFromScratch) engine.headroom = engine.capacity;
@@ -260,13 +266,13 @@
     for (std::uint32_t group = 0; group < view.groups.size(); ++group) {
       GroupSnapshot& groupView = view.groups[group];
       if (newPlan.placements[group].empty()) continue;
-      for (const std::uint32_t home : newPlan.placements[group]) {
-        if (std::binary_search(groupView.holders.begin(), groupView.holders.end(), home)) continue;
+      for (const std::uint32_t engine : newPlan.placements[group]) {
+        if (std::binary_search(groupView.holders.begin(), groupView.holders.end(), engine)) continue;
         if (event < 0) continue;
         ++totals.moves, totals.bytesMoved += groupView.size;
         const bool voluntary = !groupView.holders.empty();
         totals.voluntaryMoves += voluntary ? 1 : 0;
-        totals.returnedMoves += voluntary && leftEngines[{group, home}] ? 1 : 0;
+        totals.returnedMoves += voluntary && leftEngines[{group, engine}] ? 1 : 0;
         if (voluntary) leftEngines[{group, groupView.holders.front()}] = true, movedAtEvent[group] = event;
       }
       groupView.holders = newPlan.placements[group];
@@ -277,25 +283,25 @@
 
 bool compareMoveRules(unsigned seedCount) {
   std::printf(
-      "ten losses and ten joins in turn, 10 engines, 100 groups, %u rows; bytes beyond what is forced and "
-      "what\n"
-      "takes engines back within the bound, from below\n",
+      "ten engine removals and ten additions in turn, 10 engines, 100 groups, %u seeds; excess %%: bytes\n"
+      "above a lower bound of what is forced and what brings engines back within the load limit\n",
       seedCount);
-  std::printf("%-36s %8s %10s %12s %12s %8s\n", "rule", "moves", "voluntary", "bytes", "beyond %", "back");
+  std::printf("%-36s %8s %10s %12s %12s %8s\n", "rule", "moves", "voluntary", "bytes", "excess %",
+              "returned");
   bool passed = true;
   struct MoveRule {
     const char* name;
     int rebalanceThresholdPercent;
-    bool restsMovedGroups, placesFromScratch;
+    bool avoidsRecentMoves, placesFromScratch;
   };
-  for (const MoveRule& rule : {MoveRule{"placed anew each time", 25, false, true},
-                               {"at the bound", 25, false, false},
-                               {"acts at 40 %", 40, false, false},
-                               {"acts at 40 %, moved groups rest", 40, true, false}}) {
+  for (const MoveRule& rule : {MoveRule{"placed from scratch each time", 25, false, true},
+                               {"acts at the load limit", 25, false, false},
+                               {"acts at 40 % overload", 40, false, false},
+                               {"same, without recently moved groups", 40, true, false}}) {
     MoveStatistics totals;
     for (unsigned seed = 1; seed <= seedCount; ++seed) {
       const MoveStatistics seedResult = simulateEngineChanges(seed, rule.rebalanceThresholdPercent,
-                                                              rule.restsMovedGroups, rule.placesFromScratch);
+                                                              rule.avoidsRecentMoves, rule.placesFromScratch);
       totals.moves += seedResult.moves, totals.voluntaryMoves += seedResult.voluntaryMoves,
           totals.returnedMoves += seedResult.returnedMoves;
       totals.bytesMoved += seedResult.bytesMoved, totals.minimumBytes += seedResult.minimumBytes;
@@ -306,7 +312,7 @@
                            static_cast<double>(std::max<Bytes>(1, totals.minimumBytes)) -
                        1),
                 totals.returnedMoves);
-    if (rule.restsMovedGroups) passed = totals.returnedMoves == 0;
+    if (rule.avoidsRecentMoves) passed = totals.returnedMoves == 0;
   }
   std::printf("\n");
   return passed;
@@ -319,7 +325,7 @@
 #ifdef PADDLETRACK_EXACT
   passed = compareWithOptimum(fleetCount) && passed;
 #else
-  std::printf("built without GLPK: no comparison of %u fleets with the least\n", fleetCount);
+  std::printf("built without GLPK: skipped the comparison of %u fleets with the minimum\n", fleetCount);
 #endif
   passed = measureScaling() && passed;
   passed = compareMoveRules(50) && passed;
--- a/src/loadtest/rolling_drain.cpp
+++ b/src/loadtest/rolling_drain.cpp
@@ -1,4 +1,4 @@
-// Compares a rolling drain of three controllers under load with the same load undisturbed.
+// Compares the requests during a rolling drain of three controllers with those of the same load before it.
 #include <cstdio>
 
 #include "loadtest/experiments.hpp"
@@ -54,7 +54,7 @@
                    loadGenerator.isInService(2);
           },
           5s))
-    throw std::runtime_error("the controllers do not serve");
+    throw std::runtime_error("the controllers did not start serving within 5 s");
   loadGenerator.start(requestsPerSecond,
                       {fakes::FakeFleet::lookUpProfile(90), {"report", "acme", 10, 200ms, 2000ms, 20s}});
   loop.runFor(2s);
@@ -69,8 +69,8 @@
   const transport::TimePoint rollingUntil = loop.now();
   loadGenerator.stop();
   loop.runUntil([&] { return loadGenerator.counters().open == 0; }, 25s);
-  std::printf("%-10s %8s %8s %8s %10s %8s %8s %8s\n", "", "s", "jobs", "done", "throttled", "other", "p50 ms",
-              "p99 ms");
+  std::printf("%-10s %8s %8s %8s %10s %8s %8s %8s\n", "", "s", "requests", "complete", "rejected", "other",
+              "p50 ms", "p99 ms");
   const auto printInterval = [&](const char* name, transport::TimePoint begin, transport::TimePoint end) {
     const IntervalStatistics interval = summarizeInterval(loadGenerator, begin, end);
     const double requestCount = static_cast<double>(std::max<std::size_t>(interval.requests, 1));
@@ -80,10 +80,10 @@
                 100 * static_cast<double>(interval.rejected) / requestCount, interval.otherOutcomes,
                 quantile(interval.latenciesMs, 0.5), quantile(interval.latenciesMs, 0.99));
   };
-  printInterval("alone", undisturbedFrom, rollingFrom);
-  printInterval("rolling", rollingFrom, rollingUntil);
+  printInterval("before", undisturbedFrom, rollingFrom);
+  printInterval("drain", rollingFrom, rollingUntil);
   const LoadGenerator::Counters& statistics = loadGenerator.counters();
-  std::printf("lost %llu, doubled %llu, run twice %llu; the roll ended with %d\n",
+  std::printf("lost %llu, answered twice %llu, executed twice %llu; the rolling drain exited with %d\n",
               static_cast<unsigned long long>(statistics.lost),
               static_cast<unsigned long long>(statistics.duplicateAnswers),
               static_cast<unsigned long long>(fleet.duplicateRunCount()),
--- a/src/loadtest/soak.cpp
+++ b/src/loadtest/soak.cpp
@@ -19,18 +19,19 @@
   fakes::FakeFleet fleet(loop, loop.outputBudget, options);
   fakes::LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.frontAddresses(), 11);
   if (!loop.runUntil([&] { return loadGenerator.isInService(0); }, 5s))
-    throw std::runtime_error("the controller does not serve");
+    throw std::runtime_error("the controller did not start serving within 5 s");
   loadGenerator.start(requestsPerSecond,
                       {fakes::FakeFleet::lookUpProfile(8), {"report", "acme", 1, 20ms, 120ms, 5s}});
   const auto duration = std::chrono::duration_cast<transport::Clock::duration>(
       std::chrono::duration<double>(durationMinutes * 60));
   const auto interval = duration / 20;
-  std::printf("%8s %10s %10s %8s %12s %8s\n", "minute", "jobs", "done", "lost", "resident MB", "own MB");
+  std::printf("%8s %10s %10s %8s %12s %8s\n", "minute", "requests", "completed", "lost", "resident MB",
+              "anon MB");
   std::vector<ResidentMemory> samples;
   const transport::TimePoint startedAt = loop.now();
   for (int step = 1; step <= 20; ++step) {
     loop.runUntil([] { return false; }, std::chrono::duration_cast<std::chrono::milliseconds>(interval));
-    if (fleet.controller(0).exitCode()) throw std::runtime_error("the controller ended");
+    if (fleet.controller(0).exitCode()) throw std::runtime_error("the controller exited during the run");
     samples.push_back(readResidentMemory(fleet.controller(0).pid()));
     const auto& statistics = loadGenerator.counters();
     std::printf("%8.1f %10llu %10llu %8llu %12.2f %8.2f\n", toMilliseconds(loop.now() - startedAt) / 60000,
@@ -42,8 +43,8 @@
   }
   loadGenerator.stop();
   const double quarterMb = samples[4].anonymousMb, finalMb = samples.back().anonymousMb;
-  std::printf("own memory after a quarter %.2f MB, at the end %.2f MB: %+.2f MB\n", quarterMb, finalMb,
-              finalMb - quarterMb);
+  std::printf("anonymous memory after a quarter of the run %.2f MB, at the end %.2f MB: %+.2f MB\n",
+              quarterMb, finalMb, finalMb - quarterMb);
   return finalMb <= quarterMb * 1.1 + 1 && loadGenerator.counters().lost == 0 ? 0 : 1;
 }
 
--- a/tests/failpoint/fail_point_test.cpp
+++ b/tests/failpoint/fail_point_test.cpp
@@ -39,7 +39,7 @@
 TEST(FailPoint, ReportsNothingWrongWhenSampleOfAllPointsFails) {
   const RunOutput output = runFailPoints("--most 24 --seed 7");
   EXPECT_EQ(output.exitCode, 0) << output.text;
-  EXPECT_TRUE(output.contains(", 0 wrong;")) << output.text;
+  EXPECT_TRUE(output.contains(", 0 failed;")) << output.text;
   EXPECT_TRUE(output.contains("24 runs")) << output.text;
 }
 
@@ -69,7 +69,7 @@
 
 // A signal ended the process while another process that was starting held the lock of the socket's folder.
 TEST(FailPoint, StartsWhenSignalInterruptsSocketFolderLock) {
-  EXPECT_FALSE(runSinglePoint("socket_file.lock#1=EINTR").contains("ended;"));
+  EXPECT_FALSE(runSinglePoint("socket_file.lock#1=EINTR").contains("exited;"));
 }
 
 // An interrupted read was not retried, so SIGTERM stayed unread and the process went on.
