--- a/tests/loadtest/fault_proxy_test.cpp
+++ b/tests/loadtest/fault_proxy_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the fault proxies: what they do to datagrams and to streams.
+// Tests of the effects of the fault proxies on datagrams and streams.
 #include <gtest/gtest.h>
 
 #include "fakes/tcp_fault_proxy.hpp"
--- a/tests/loadtest/randomized_faults_test.cpp
+++ b/tests/loadtest/randomized_faults_test.cpp
@@ -1,6 +1,7 @@
-// Random schedules of faults against three controllers. The invariant checker judges each run by what the
-// fakes observed. A failing seed is printed with its last steps. PADDLETRACK_CROSSINGS_SEED=N runs the seed N
-// alone, PADDLETRACK_CROSSINGS_SEEDS=COUNT runs COUNT seeds from there on (from 1 if no seed is given).
+// Runs random schedules of faults against three controllers. The invariant checker evaluates each run from
+// the events that the fakes recorded. A failing seed is printed with its last steps.
+// PADDLETRACK_CROSSINGS_SEED=N runs the seed N alone, PADDLETRACK_CROSSINGS_SEEDS=COUNT runs COUNT seeds from
+// there on (from 1 if no seed is given).
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -29,7 +30,7 @@
 using namespace std::chrono_literals;
 using EventKind = Event::Kind;
 using Departure = LoadGenerator::Departure;
-using ConnectionSelection = FakeEngine::ConnectionFilter;
+using ConnectionFilter = FakeEngine::ConnectionFilter;
 
 constexpr unsigned kProxiedEngine = 4;  // This engine is reached through a proxy that delays by milliseconds.
 constexpr unsigned kProxyHost = 100;
@@ -50,10 +51,10 @@
     options.program = PADDLETRACK_PROGRAM;
     options.engines = kEngines;
     options.controllers = kControllers;
-    options.customizeEndpoint = [this](FakeEndpointList::Endpoint& server, unsigned engine,
+    options.customizeEndpoint = [this](FakeEndpointList::Endpoint& endpoint, unsigned engine,
                                        const std::string&) {
       if (engine == kProxiedEngine)
-        server.address = "127.0." + std::to_string(subnet_) + "." + std::to_string(kProxyHost) + ":18443";
+        endpoint.address = "127.0." + std::to_string(subnet_) + "." + std::to_string(kProxyHost) + ":18443";
     };
     for (subnet_ = options.subnet = 190; !fleet_;) {  // The first subnet that is not in use.
       try {
@@ -72,7 +73,7 @@
     loadGenerator_.emplace(loop_, loop_.outputBudget, fleet_->frontAddresses(), seed);
     loadGenerator_->setHeartbeatInterval(20ms);
     loadGenerator_->recordTo(events_);
-    // Late answers are judged by the invariant checker, which knows how long a process waited for a core.
+    // Late answers are checked by the invariant checker, which knows how long a process waited for a core.
     loadGenerator_->setLateTolerance(4s);
     tasks_.spawn(recordCpuWaits());
     for (std::size_t index = 0; index < kEngines; ++index) {
@@ -87,7 +88,7 @@
   // Returns false if the run could not start or did not end.
   bool run() {
     if (!loop_.runUntil([this] { return countInService() == kControllers; }, 20s))
-      return fail("not all serve");
+      return fail("not all controllers started serving within 20 s");
     for (std::size_t index = 0; index < kControllers; ++index) recordResourceUsage(index);
     startedAt_ = loop_.now();
     loadGenerator_->start(120, {{"look-up", "acme", 4, 3ms, 20ms, 1000ms},
@@ -95,16 +96,18 @@
                                 {"order", "acme", 2, 10ms, 60ms, 1500ms, "pages=2"},
                                 {"load", "acme", 3, 10ms, 60ms, 1500ms}});
     tasks_.spawn(runSchedule());
-    if (!loop_.runUntil([this] { return scheduleFinished_; }, 40s)) return fail("the schedule does not end");
+    if (!loop_.runUntil([this] { return scheduleFinished_; }, 40s))
+      return fail("the schedule did not end within 40 s");
     loadGenerator_->stop();
     faultsDisabled_ = true;
     if (!loop_.runUntil([this] { return stoppingControllers_ == 0 && countInService() == kControllers; },
                         20s))
-      return fail("not all serve again");
+      return fail("not all controllers returned to service within 20 s");
     loop_.runUntil([this] { return loadGenerator_->counters().open == 0; }, 5s);
     waitForResourceRelease();
-    for (std::size_t item = 0; item < kControllers; ++item) stopController(item, SIGTERM, false);
-    if (!loop_.runUntil([this] { return stoppingControllers_ == 0; }, 10s)) return fail("not all end");
+    for (std::size_t index = 0; index < kControllers; ++index) stopController(index, SIGTERM, false);
+    if (!loop_.runUntil([this] { return stoppingControllers_ == 0; }, 10s))
+      return fail("not all controllers exited within 10 s");
     events_.onEvent = nullptr;
     return failureReason_.empty();
   }
@@ -225,7 +228,7 @@
       triggerEvent_.reset();
       (void)co_await triggerSignal_.wait(loop_.now() + 120ms);  // A trigger that does not occur is skipped.
       triggerArmed_ = false;
-      for (std::uint32_t value = 0; value < loopTurns; ++value) co_await loop_.yield();
+      for (std::uint32_t turn = 0; turn < loopTurns; ++turn) co_await loop_.yield();
       performRandomAction();
     }
     restoreEndpointList();
@@ -233,7 +236,7 @@
     scheduleFinished_ = true;
   }
 
-  // Sends requests that crossed a close once more, as clients may do.
+  // Sends a request again, once, if its connection was closed just after it was sent. Clients may do so.
   void resendInterrupted() {
     for (const std::string& reference : std::exchange(interruptedRequests_, {})) {
       const std::size_t controller = pickControllerInService();
@@ -261,7 +264,7 @@
     const auto elapsedMs = std::chrono::duration_cast<milliseconds>(loop_.now() - startedAt_).count();
     std::string trigger =
         triggerEvent_ ? std::string(" on ") + nameOf(triggerEvent_->kind) + " " + triggerEvent_->reference
-                      : std::string(" at last");
+                      : std::string(" after the trigger timeout");
     steps_.push_back(std::to_string(elapsedMs) + " ms: " + description + trigger);
     if (steps_.size() > 40) steps_.pop_front();
   }
@@ -296,36 +299,36 @@
     const std::size_t controller = triggerEvent_ && !triggerEvent_->reference.empty() && drawBelow(2)
                                        ? triggerEvent_->controller
                                        : drawBelow(kControllers);
-    const std::string engineText = " at executor " + std::to_string(engine),
+    const std::string engineText = " at engine " + std::to_string(engine),
                       controllerText = " controller " + std::to_string(controller);
     if (action < 42) {
-      recordStep("an executor resets the attempt's connection" + engineText);
-      return fleet_->engine(engine).disconnect(ConnectionSelection::withAttempt, drawBelow(2) == 0,
+      recordStep("connection of the attempt is reset" + engineText);
+      return fleet_->engine(engine).disconnect(ConnectionFilter::withAttempt, drawBelow(2) == 0,
                                                triggerEvent_ ? triggerEvent_->attempt : 0);
     }
     if (action < 44) {
-      recordStep("the way to executor 4 is reset");
+      recordStep("the proxied connections to engine 4 are reset");
       return engineProxy_->resetAll();
     }
     if (action < 48) {
       recordStep("idle connections are closed" + engineText);
-      return fleet_->engine(engine).disconnect(ConnectionSelection::idle, false);
+      return fleet_->engine(engine).disconnect(ConnectionFilter::idle, false);
     }
     if (action < 52) return restartEngine(engine, engineText);
     if (action < 57) return drainEngine(engine, "leaving", engineText);
     if (action < 60) return drainEngine(engine, "left", engineText);
     if (action < 66) return returnEngine(engine);
-    if (action < 72) return disturbEndpointList();
+    if (action < 72) return disruptEndpointList();
     if (action < 80) return reloadController(controller, drawBelow(3), controllerText);
     if (action < 87) return terminateOneController(controller, SIGTERM, controllerText);
     if (action < 91) return terminateOneController(controller, SIGKILL, controllerText);
     if (action < 97) {
-      recordStep("twelve jobs at once" + controllerText);
+      recordStep("twelve concurrent requests" + controllerText);
       for (int index = 0; loadGenerator_->isInService(controller) && index < 12; ++index)
         loadGenerator_->send(drawBelow(4), controller);
       return;
     }
-    recordStep("vandals" + controllerText);
+    recordStep("misbehaving clients" + controllerText);
     misbehavingClients_.emplace(loop_, loop_.outputBudget, fleet_->frontAddresses()[controller], 2);
   }
 
@@ -348,7 +351,7 @@
     return std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch())
         .count();
   }
-  void relistEngine(std::size_t engine) {
+  void republishEngine(std::size_t engine) {
     const std::string previousId = engineId(engine);
     ++engineStarts_[engine];
     fleet_->endpointList().publish(
@@ -359,9 +362,9 @@
   }
   void restartEngine(std::size_t engine, const std::string& engineText) {
     if (engineStates_[engine] != "active") return;
-    recordStep("dies and starts again at its address" + engineText);
-    fleet_->engine(engine).disconnect(ConnectionSelection::all, true);
-    relistEngine(engine);
+    recordStep("restart at the same address" + engineText);
+    fleet_->engine(engine).disconnect(ConnectionFilter::all, true);
+    republishEngine(engine);
   }
   void drainEngine(std::size_t engine, const std::string& state, const std::string& engineText) {
     if (countActiveEngines() <= 2 || engineStates_[engine] != "active") return;
@@ -373,37 +376,37 @@
   }
   void returnEngine(std::size_t engine) {
     if (engineStates_[engine] == "active") return;
-    recordStep("starts again at its address: executor " + std::to_string(engine));
+    recordStep("restart at the same address: engine " + std::to_string(engine));
     if (listenerClosed_[engine])
       listenerIndices_[engine] =
           fleet_->engine(engine).addAddress(fleet_->addressOf(static_cast<unsigned>(engine + 1)));
     listenerClosed_[engine] = false;
-    relistEngine(engine);
+    republishEngine(engine);
   }
-  void disturbEndpointList() {
+  void disruptEndpointList() {
     if (endpointListDown_) return restoreEndpointList();
-    const std::uint32_t disturbance = drawBelow(3);
-    recordStep(disturbance == 0   ? "the list falls silent"
-               : disturbance == 1 ? "the list is down"
-                                  : "the other way to the list is reset");
-    if (disturbance == 2) return endpointListProxy_->resetAll();
+    const std::uint32_t disruption = drawBelow(3);
+    recordStep(disruption == 0   ? "the endpoint list stops answering"
+               : disruption == 1 ? "the endpoint list is closed"
+                                 : "the proxied connections to the endpoint list are reset");
+    if (disruption == 2) return endpointListProxy_->resetAll();
     endpointListDown_ = true;
-    disturbance == 0 ? fleet_->endpointList().setSilent(true) : fleet_->endpointList().close();
+    disruption == 0 ? fleet_->endpointList().setSilent(true) : fleet_->endpointList().close();
     events_.append({.kind = EventKind::endpointListLost});
   }
   void restoreEndpointList() {
     if (!std::exchange(endpointListDown_, false)) return;
-    recordStep("the list is heard again");
+    recordStep("the endpoint list is restored");
     fleet_->endpointList().setSilent(false);
     if (!fleet_->endpointList().isOpen()) fleet_->endpointList().open();
     events_.append({.kind = EventKind::endpointListRestored});
   }
 
   void reloadController(std::size_t controller, std::uint32_t variant, const std::string& controllerText) {
-    if (controllerDown_[controller]) return;  // Its next start writes its file.
+    if (controllerDown_[controller]) return;  // Its next start writes its configuration.
     recordStep((variant == 0   ? "SIGHUP"
-                : variant == 1 ? "SIGHUP, the list at another address"
-                               : "SIGHUP, half a file") +
+                : variant == 1 ? "SIGHUP, endpoint list at another address"
+                               : "SIGHUP, truncated configuration") +
                controllerText);
     if (variant == 2) {
       std::error_code ignoredError;
@@ -453,8 +456,8 @@
     --stoppingControllers_;
   }
 
-  // How long each process waited for a processor core, according to the kernel. The time that it ran is its
-  // own responsibility.
+  // Records how long each process waited for a processor core, according to the kernel. The time that it ran
+  // is not excused.
   transport::Task<> recordCpuWaits() {
     std::map<std::pair<std::size_t, pid_t>, std::int64_t> previousWaits;
     for (;;) {
@@ -463,10 +466,10 @@
         std::ifstream file("/proc/" + std::to_string(process) + "/schedstat");
         std::int64_t ranNs = 0, waitedNs = 0;
         file >> ranNs >> waitedNs;
-        auto [last, fresh] = previousWaits.emplace(std::pair(index, process), waitedNs);
-        const std::int64_t waitedUs = fresh ? 0 : (waitedNs - last->second) / 1000;
+        auto [previous, isNew] = previousWaits.emplace(std::pair(index, process), waitedNs);
+        const std::int64_t waitedUs = isNew ? 0 : (waitedNs - previous->second) / 1000;
         if (waitedUs < 500) continue;
-        last->second = waitedNs;
+        previous->second = waitedNs;
         events_.append({.kind = EventKind::cpuWaitMeasured,
                         .controller = index < kControllers ? index : Event::kTestProcess,
                         .value = waitedUs});
@@ -499,13 +502,13 @@
   }
   void recordResourceUsage(std::size_t controller) {
     const ResourceUsage usage = readResourceUsage(controller);
-    for (const auto& [name, figure] :
+    for (const auto& [name, amount] :
          {std::pair("jobs", usage.openRequests), std::pair("descriptors", usage.descriptors),
           std::pair("memory", usage.memory)})
       events_.append(
-          {.kind = EventKind::idleMeasured, .controller = controller, .detail = name, .value = figure});
+          {.kind = EventKind::idleMeasured, .controller = controller, .detail = name, .value = amount});
   }
-  // There are no requests any more: the controllers must release what they held for them.
+  // Waits until the controllers have released the resources of all requests, which have ended by now.
   void waitForResourceRelease() {
     misbehavingClients_.reset();
     loadGenerator_->pauseClients();
@@ -517,7 +520,7 @@
           initialDescriptors = event.value;
       for (const transport::TimePoint deadline = loop_.now() + 4s; loop_.now() < deadline;) {
         for (std::size_t engine = 0; engine < kEngines; ++engine)
-          fleet_->engine(engine).disconnect(ConnectionSelection::idle, false);
+          fleet_->engine(engine).disconnect(ConnectionFilter::idle, false);
         const ResourceUsage usage = readResourceUsage(index);
         if (usage.openRequests == 0 && usage.descriptors <= initialDescriptors) break;
       }
--- a/tests/loadtest/trace_oracle_test.cpp
+++ b/tests/loadtest/trace_oracle_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the invariant checker: for each invariant one trace that violates it, and traces that are close to
-// that but allowed.
+// Tests of the invariant checker: for each invariant a trace that violates it, and similar traces that do
+// not.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -41,7 +41,7 @@
   }
   void addSignal(int atMs, int signalNumber) { addEvent(atMs, Kind::signalSent).value = signalNumber; }
   // The names of the violated invariants in the order in which the violations were found.
-  std::string violatedRules() const {
+  std::string violatedInvariants() const {
     std::string names;
     for (const Violation& violation : checkInvariants(events, {}).violations)
       names += std::string(names.empty() ? "" : ", ") + nameOf(violation.invariant);
@@ -57,7 +57,7 @@
   trace.addAttempt(170, "b", 2);  // Within the grace period and the timing slack.
   trace.addSignal(200, SIGTERM);
   trace.addEvent(400, Kind::processExited);
-  EXPECT_EQ(trace.violatedRules(), "");
+  EXPECT_EQ(trace.violatedInvariants(), "");
   EXPECT_EQ(checkInvariants(trace.events, {}).attemptsAfterClientGone, 1U);
 }
 
@@ -75,7 +75,7 @@
       trace.addEvent(11, Kind::requestLost, "a", "closed");
       std::swap(trace.events.rbegin()[0], trace.events.rbegin()[1]);
     }
-    EXPECT_EQ(trace.violatedRules(), "one answer") << violationText;
+    EXPECT_EQ(trace.violatedInvariants(), "one answer") << violationText;
   }
 }
 
@@ -83,27 +83,27 @@
   RunTrace trace;
   trace.addEvent(0, Kind::requestSent, "a", "report");
   trace.addEvent(40, Kind::requestLost, "a", "closed");
-  EXPECT_EQ(trace.violatedRules(), "one answer");  // It was not sent again.
+  EXPECT_EQ(trace.violatedInvariants(), "one answer");  // The request was not sent again.
   trace.addEvent(41, Kind::requestSent, "b", "report").retryOf = "a";
   trace.addEvent(60, Kind::requestLost, "b", "closed");
-  EXPECT_EQ(trace.violatedRules(), "one answer");  // A second close loses b.
-  RunTrace killedRun;
-  killedRun.addEvent(0, Kind::requestSent, "a", "report");
-  killedRun.addSignal(500, SIGKILL);
-  killedRun.addEvent(501, Kind::requestLost, "a", "closed");
-  killedRun.addEvent(502, Kind::processExited).value = 128 + SIGKILL;
-  EXPECT_EQ(killedRun.violatedRules(), "");
-  killedRun.addEvent(600, Kind::serviceStarted);
-  killedRun.addEvent(700, Kind::requestSent, "b", "report");
-  killedRun.addEvent(800, Kind::requestLost, "b", "closed");
-  EXPECT_EQ(killedRun.violatedRules(), "one answer");
+  EXPECT_EQ(trace.violatedInvariants(), "one answer");  // A second close loses b.
+  RunTrace killedTrace;
+  killedTrace.addEvent(0, Kind::requestSent, "a", "report");
+  killedTrace.addSignal(500, SIGKILL);
+  killedTrace.addEvent(501, Kind::requestLost, "a", "closed");
+  killedTrace.addEvent(502, Kind::processExited).value = 128 + SIGKILL;
+  EXPECT_EQ(killedTrace.violatedInvariants(), "");
+  killedTrace.addEvent(600, Kind::serviceStarted);
+  killedTrace.addEvent(700, Kind::requestSent, "b", "report");
+  killedTrace.addEvent(800, Kind::requestLost, "b", "closed");
+  EXPECT_EQ(killedTrace.violatedInvariants(), "one answer");
 }
 
 TEST(TraceOracle, ReportsViolationWhenRowsWereNotProducedByAnAttempt) {
   RunTrace trace;
   trace.addServedRequest("a", 0, 1);
   trace.events.back().body = "rows rows";
-  EXPECT_EQ(trace.violatedRules(), "own rows");
+  EXPECT_EQ(trace.violatedInvariants(), "own rows");
 }
 
 TEST(TraceOracle, ReportsViolationWhenNonIdempotentRequestMayRunTwice) {
@@ -119,10 +119,10 @@
     trace.addAttempt(8, "a", 2);
     trace.addAttemptResult(10, 2, "200");
     trace.addEvent(11, Kind::requestAnswered, "a", "done");
-    EXPECT_EQ(trace.violatedRules(), firstResult == "503" || firstResult == "504" ? "" : "runs once")
+    EXPECT_EQ(trace.violatedInvariants(), firstResult == "503" || firstResult == "504" ? "" : "runs once")
         << firstResult;
     trace.events.front().detail = "report";  // An idempotent class.
-    EXPECT_EQ(trace.violatedRules(), "") << firstResult;
+    EXPECT_EQ(trace.violatedInvariants(), "") << firstResult;
   }
 }
 
@@ -130,7 +130,7 @@
   RunTrace trace;
   trace.addServedRequest("a", 0, 1);
   trace.events.back().detail = "throttled";
-  EXPECT_EQ(trace.violatedRules(), "throttled unrun");
+  EXPECT_EQ(trace.violatedInvariants(), "throttled unrun");
 }
 
 TEST(TraceOracle, ReportsViolationWhenAttemptStartsAfterClientHasGone) {
@@ -138,32 +138,33 @@
   trace.addEvent(0, Kind::requestSent, "a", "report");
   trace.addEvent(10, Kind::clientGone, "a", "half-closed");
   trace.addAttempt(162, "a", 1);
-  EXPECT_EQ(trace.violatedRules(), "gone");
-  trace.addEvent(170, Kind::cpuWaitMeasured).value = 30'000;  // It waited for a processor core.
-  EXPECT_EQ(trace.violatedRules(), "");
+  EXPECT_EQ(trace.violatedInvariants(), "gone");
+  trace.addEvent(170, Kind::cpuWaitMeasured).value = 30'000;  // The process waited for a core.
+  EXPECT_EQ(trace.violatedInvariants(), "");
 }
 
 TEST(TraceOracle, ReportsViolationWhenAttemptStartsOnDrainingEngine) {
   RunTrace trace;
   trace.addEvent(0, Kind::endpointUpdated, "", "leaving");
   trace.addServedRequest("a", 1000, 1);  // Within the grace period.
-  EXPECT_EQ(trace.violatedRules(), "");
+  EXPECT_EQ(trace.violatedInvariants(), "");
   trace.addServedRequest("b", 1100, 2);
-  EXPECT_EQ(trace.violatedRules(), "drains");
+  EXPECT_EQ(trace.violatedInvariants(), "drains");
   trace.events.resize(trace.events.size() - 4);
   trace.addEvent(1090, Kind::endpointUpdated, "", "active");  // Another engine at the same address.
   trace.addServedRequest("b", 1100, 2);
-  EXPECT_EQ(trace.violatedRules(), "");
-  // A change published while the list is lost counts once the controllers can have read the list again.
-  RunTrace silentList;
-  silentList.addEvent(0, Kind::endpointListLost);
-  silentList.addEvent(10, Kind::endpointUpdated, "", "left");
-  silentList.addServedRequest("a", 2000, 1);
-  silentList.addEvent(3000, Kind::endpointListRestored);
-  silentList.addServedRequest("b", 6000, 2);
-  EXPECT_EQ(silentList.violatedRules(), "");
-  silentList.addServedRequest("c", 6100, 3);
-  EXPECT_EQ(silentList.violatedRules(), "drains");
+  EXPECT_EQ(trace.violatedInvariants(), "");
+  // A change published while the endpoint list is unreachable counts once the controllers can have read the
+  // list again.
+  RunTrace outageTrace;
+  outageTrace.addEvent(0, Kind::endpointListLost);
+  outageTrace.addEvent(10, Kind::endpointUpdated, "", "left");
+  outageTrace.addServedRequest("a", 2000, 1);
+  outageTrace.addEvent(3000, Kind::endpointListRestored);
+  outageTrace.addServedRequest("b", 6000, 2);
+  EXPECT_EQ(outageTrace.violatedInvariants(), "");
+  outageTrace.addServedRequest("c", 6100, 3);
+  EXPECT_EQ(outageTrace.violatedInvariants(), "drains");
 }
 
 TEST(TraceOracle, ReportsViolationWhenExitIsLateUnrequestedOrNonZero) {
@@ -172,7 +173,7 @@
     RunTrace trace;
     if (isStopped) trace.addSignal(0, SIGTERM);
     trace.addEvent(exitAtMs, Kind::processExited).value = code;
-    EXPECT_EQ(trace.violatedRules(), "exits") << exitAtMs << " " << code;
+    EXPECT_EQ(trace.violatedInvariants(), "exits") << exitAtMs << " " << code;
   }
 }
 
@@ -182,9 +183,9 @@
     RunTrace trace;
     trace.addEvent(0, Kind::idleMeasured, "", resource).value = 12;
     trace.addEvent(9, Kind::idleMeasured, "", resource).value = 12;
-    EXPECT_EQ(trace.violatedRules(), "");
+    EXPECT_EQ(trace.violatedInvariants(), "");
     trace.addEvent(10, Kind::idleMeasured, "", resource).value = 12 + excess;
-    EXPECT_EQ(trace.violatedRules(), "idle") << resource;
+    EXPECT_EQ(trace.violatedInvariants(), "idle") << resource;
   }
 }
 
