--- a/src/loadtest/gossip.cpp
+++ b/src/loadtest/gossip.cpp
@@ -145,7 +145,7 @@
     malformedCount += watcher.memberStatus(memberIndex)["dropped"]["broken"].get<std::uint64_t>();
   const double slowestMs =
       std::max({quantile(updateTimesMs, 1), quantile(healTimesMs, 1), quantile(restartTimesMs, 1)});
-  std::printf("%8u %9.0f %9.0f %9.0f %9.0f %9.0f %9.0f %10.0f %10.0f %8llu %8llu%s\n", memberCount,
+  std::printf("%8u %11.0f %9.0f %11.0f %9.0f %11.0f %9.0f %10.0f %10.0f %8llu %8llu%s\n", memberCount,
               quantile(updateTimesMs, 0.5), quantile(updateTimesMs, 1), quantile(healTimesMs, 0.5),
               quantile(healTimesMs, 1), quantile(restartTimesMs, 0.5), quantile(restartTimesMs, 1),
               idleBytesPerSecond, loadedBytesPerSecond, status["entries"].get<unsigned long long>(),
@@ -278,8 +278,8 @@
       "requests on both sides (heal), and from the start of one that was killed (restart); bytes per second\n"
       "that each sends, idle and at 20 requests per second each; entries and bytes that one member "
       "holds\n\n");
-  std::printf("%8s %9s %9s %9s %9s %9s %9s %10s %10s %8s %8s\n", "members", "upd. p50", "max", "heal p50",
-              "max", "rest. p50", "max", "idle B/s", "loaded B/s", "entries", "bytes");
+  std::printf("%8s %11s %9s %11s %9s %11s %9s %10s %10s %8s %8s\n", "members", "update p50", "max",
+              "heal p50", "max", "restart p50", "max", "idle B/s", "loaded B/s", "entries", "bytes");
   bool passed = true;
   int networkIndex = 171;
   for (const unsigned fleetSize : fleetSizes)
--- a/src/loadtest/rebalance.cpp
+++ b/src/loadtest/rebalance.cpp
@@ -97,7 +97,7 @@
 // A lower bound of the bytes that a plan copies: the forced moves, and what each engine above its load limit
 // would have to move if groups could be split.
 Bytes computeLowerBoundBytes(const ClusterView& view, Bytes forcedBytes) {
-  const LoadLowerBound balance(view);
+  const LoadLowerBound loadBound(view);
   double lowerBound = 0;
   for (std::uint32_t engine = 0; engine < view.engines.size(); ++engine) {
     if (view.engines[engine].state != EndpointState::ready) continue;
@@ -109,8 +109,8 @@
       groupLoads.emplace_back(static_cast<double>(group.size) / loadShare, loadShare);
       engineLoad += loadShare;
     }
-    double excessLoad = engineLoad - static_cast<double>(balance.loadLimit(view.engines[engine],
-                                                                           PlanOptions{}.maxOverloadPercent));
+    double excessLoad = engineLoad - static_cast<double>(loadBound.loadLimit(
+                                         view.engines[engine], PlanOptions{}.maxOverloadPercent));
     std::sort(groupLoads.begin(), groupLoads.end());
     for (const auto& [bytes, loadShare] : groupLoads) {
       if (excessLoad <= 0) break;
--- a/tests/loadtest/randomized_faults_test.cpp
+++ b/tests/loadtest/randomized_faults_test.cpp
@@ -362,7 +362,7 @@
   }
   void restartEngine(std::size_t engine, const std::string& engineText) {
     if (engineStates_[engine] != "active") return;
-    recordStep("restart at the same address" + engineText);
+    recordStep("restart with an unchanged address" + engineText);
     fleet_->engine(engine).disconnect(ConnectionFilter::all, true);
     republishEngine(engine);
   }
@@ -376,7 +376,7 @@
   }
   void returnEngine(std::size_t engine) {
     if (engineStates_[engine] == "active") return;
-    recordStep("restart at the same address: engine " + std::to_string(engine));
+    recordStep("restart with an unchanged address: engine " + std::to_string(engine));
     if (listenerClosed_[engine])
       listenerIndices_[engine] =
           fleet_->engine(engine).addAddress(fleet_->addressOf(static_cast<unsigned>(engine + 1)));
