--- a/src/fakes/fake_engine.hpp
+++ b/src/fakes/fake_engine.hpp
@@ -86,13 +86,13 @@
   /// Statements that are neither answered, cancelled nor disconnected.
   std::size_t openAskCount() const { return openAsks_.size(); }
   std::uint64_t askCount() const { return askCount_; }
-  std::uint64_t runCount() const { return runCount_; }
-  unsigned runCount(const std::string& id) const {
+  std::uint64_t executionCount() const { return runCount_; }
+  unsigned executionCount(const std::string& id) const {
     const auto entry = runsById_.find(id);
     return entry == runsById_.end() ? 0 : entry->second;
   }
   /// Ids whose statement was executed to its end more than once.
-  std::uint64_t duplicateRunCount() const { return duplicateRunCount_; }
+  std::uint64_t duplicateExecutionCount() const { return duplicateRunCount_; }
   std::uint64_t askCountAt(std::size_t listening) const { return listenings_[listening]->askCount; }
   /// Ends every connection, as when the process dies. The engine keeps listening.
   void disconnect();
--- a/tests/rebalance/rebalance_cluster_test.cpp
+++ b/tests/rebalance/rebalance_cluster_test.cpp
@@ -54,7 +54,7 @@
   fakes::FakeFleet fleet(scheduler, scheduler.outputBudget, options);
   for (unsigned engine = 0; engine < options.engines; ++engine)
     fleet.engine(engine).configureCache({10, 64 << 20, milliseconds(30)});
-  fakes::LoadGenerator loadGenerator(scheduler, scheduler.outputBudget, fleet.frontAddresses(), 3);
+  fakes::LoadGenerator loadGenerator(scheduler, scheduler.outputBudget, fleet.controllerAddresses(), 3);
   std::vector<fakes::LoadGenerator::RequestProfile> profiles;
   for (unsigned group = 1; group <= 12; ++group) {
     profiles.push_back(fakes::FakeFleet::lookUpProfile());
@@ -93,7 +93,7 @@
   for (const auto& [epoch, views] : readEpochViews(fleet, kControllers, 0).viewsByEpoch)
     EXPECT_EQ(views.size(), 1U) << epoch;
   EXPECT_EQ(loadGenerator.counters().duplicateAnswers, 0U);
-  EXPECT_EQ(fleet.duplicateRunCount(), 0U);
+  EXPECT_EQ(fleet.duplicateExecutionCount(), 0U);
 }
 
 }  // namespace
