--- a/examples/example_server.cpp
+++ b/examples/example_server.cpp
@@ -1,5 +1,5 @@
-// A server to try a controller with: an engine that answers every statement, and an endpoint list that names
-// it.
+// A counterpart for trying out a controller: an engine that answers every statement, and an endpoint list
+// that publishes this engine.
 #include <cstdio>
 #include <exception>
 
@@ -10,7 +10,7 @@
 
 int main(int argc, char** argv) {
   if (argc != 3) {
-    std::fputs("usage: toy_server EXECUTOR_ADDRESS CHANGELOG_ADDRESS\n", stderr);
+    std::fputs("usage: example_server ENGINE_ADDRESS ENDPOINT_LIST_ADDRESS\n", stderr);
     return 2;
   }
   try {
@@ -18,7 +18,7 @@
     transport::OutputBudget outputBudget{1 << 20, 0};
     fakes::FakeEngine engine(scheduler, outputBudget, transport::Address(argv[1]));
     engine.overrideScript = [](fakes::Script& script, const std::string& id) {
-      std::printf("toy: %s: %s in %lld ms, %u pages\n", id.c_str(), script.status.c_str(),
+      std::printf("example_server: %s: %s in %lld ms, %u pages\n", id.c_str(), script.status.c_str(),
                   static_cast<long long>(script.duration.count()), script.pageCount);
       std::fflush(stdout);
     };
@@ -26,7 +26,7 @@
     endpointList.publish({{"s-1", argv[1]}}, true);
     scheduler.run();
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "toy_server: %s\n", error.what());
+    std::fprintf(stderr, "example_server: %s\n", error.what());
     return 1;
   }
 }
--- a/src/command/admin_client.cpp
+++ b/src/command/admin_client.cpp
@@ -55,7 +55,7 @@
     if (sent > 0) {
       offset += static_cast<std::size_t>(sent);
     } else if (errno == EAGAIN) {
-      if (pollUntil(fd_, POLLOUT, deadline) == 0) throw NoResponse(path_, "it does not read");
+      if (pollUntil(fd_, POLLOUT, deadline) == 0) throw NoResponse(path_, "timed out sending the request");
     } else if (errno != EINTR) {
       throw NoResponse(path_, std::strerror(errno));
     }
@@ -68,12 +68,13 @@
       Json message = Json::parse(input_.substr(0, lineEnd), nullptr, false);
       input_.erase(0, lineEnd + 1);
       if (message.is_discarded() || !message.is_object())
-        throw NoResponse(path_, "what answers there is no controller");
+        throw NoResponse(path_, "peer is not a controller: expected a JSON object");
       if (const auto version = message.find("v"); version == message.end() || *version != 1)
-        throw NoResponse(path_, "it speaks another version");
+        throw NoResponse(path_, "unsupported protocol version, expected 1");
       return message;
     }
-    if (input_.size() > kMaxMessageBytes) throw NoResponse(path_, "what answers there is no controller");
+    if (input_.size() > kMaxMessageBytes)
+      throw NoResponse(path_, "peer is not a controller: message too long");
     const int ready = pollUntil(fd_, POLLIN, deadline);
     if (ready == 0) return std::nullopt;
     if (ready < 0) continue;
@@ -82,7 +83,7 @@
     if (received > 0) {
       input_.append(bytes, static_cast<std::size_t>(received));
     } else if (received == 0) {
-      throw NoResponse(path_, "the controller has closed the connection");
+      throw NoResponse(path_, "the controller closed the connection");
     } else if (errno != EAGAIN && errno != EINTR) {
       throw NoResponse(path_, std::strerror(errno));
     }
@@ -94,7 +95,7 @@
   send(request, deadline);
   while (auto message = receive(deadline))
     if (message->contains("ok")) return *message;
-  throw NoResponse(path_, "no answer within " + std::to_string(kResponseTimeout.count()) + " s");
+  throw NoResponse(path_, "no response within " + std::to_string(kResponseTimeout.count()) + " s");
 }
 
 }  // namespace paddletrack::command
--- a/src/command/bash_completion.cpp
+++ b/src/command/bash_completion.cpp
@@ -6,13 +6,13 @@
 
 std::string bashCompletion(const CLI::App& app) {
   std::string names, cases;
-  for (const CLI::App* item : app.get_subcommands([](const CLI::App*) { return true; })) {
-    names += (names.empty() ? "" : " ") + item->get_name();
+  for (const CLI::App* subcommand : app.get_subcommands([](const CLI::App*) { return true; })) {
+    names += (names.empty() ? "" : " ") + subcommand->get_name();
     std::string options;
-    for (const CLI::Option* option : item->get_options())
+    for (const CLI::Option* option : subcommand->get_options())
       for (const std::string& name : option->get_lnames()) options += (options.empty() ? "--" : " --") + name;
-    cases += "    " + item->get_name() + ") words=\"" + options +
-             (item->get_name() == "completion" ? " bash" : "") + "\" ;;\n";
+    cases += "    " + subcommand->get_name() + ") words=\"" + options +
+             (subcommand->get_name() == "completion" ? " bash" : "") + "\" ;;\n";
   }
   return "# bash completion of paddletrack: source it, or put it where bash looks for such files.\n"
          "_paddletrack() {\n"
--- a/src/command/bash_completion.hpp
+++ b/src/command/bash_completion.hpp
@@ -8,8 +8,8 @@
 
 namespace paddletrack::command {
 
-/// Returns a script for bash that completes this program's commands, options and paths. It is generated from
-/// the commands, so that it can't fall behind them.
+/// Returns a bash script that completes the program's commands, options and paths. It is generated from the
+/// command definitions, so that the two cannot diverge.
 std::string bashCompletion(const CLI::App& app);
 
 }  // namespace paddletrack::command
--- a/src/command/drain_command.cpp
+++ b/src/command/drain_command.cpp
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kWatchInterval{250};
-constexpr milliseconds kProgressTimeout{5000};  // Without a progress event.
+constexpr milliseconds kProgressTimeout{5000};  // Maximum time between progress events.
 constexpr int kBarWidth = 24;
 
 std::string seconds(const Json& duration) {
@@ -40,7 +40,7 @@
   return kExitRefused;
 }
 
-// The exit code of a drain that is over; none while it runs.
+// Returns the exit code of a finished drain, or std::nullopt while it is in progress.
 std::optional<int> drainExitCode(const Json& status, std::uint64_t drainNumber) {
   const Json& drain = status["drain"];
   if (drain.is_null() || drain["number"] != drainNumber || drain["cancelled"] == true) return kExitCancelled;
@@ -53,18 +53,19 @@
   const std::string duration = drain.is_null() || drain["drained_after_ms"].is_null()
                                    ? ""
                                    : " after " + seconds(drain["drained_after_ms"]);
-  if (exitCode == kExitCancelled) return "cancelled: it is " + status["state"].get<std::string>() + " again";
+  if (exitCode == kExitCancelled)
+    return "cancelled: the controller is " + status["state"].get<std::string>() + " again";
   const Json& counts = drain["since_ask"];
   std::string line = "drained" + duration + ": " + counts["done"].dump() + " done, " +
-                     counts["throttled"].dump() + " throttled, " + counts["cancelled"].dump() +
-                     " cancelled for good, " + counts["left"].dump() + " left by their clients, " +
-                     counts["turned_away"].dump() + " turned away";
+                     counts["throttled"].dump() + " rejected, " + counts["cancelled"].dump() + " failed, " +
+                     counts["left"].dump() + " abandoned by their clients, " + counts["turned_away"].dump() +
+                     " rejected by the drain";
   if (exitCode == kExitDeadlineMissed)
-    line += "; the deadline ended " + drain["ended_by_deadline"].dump() + " jobs";
+    line += "; the deadline ended " + drain["ended_by_deadline"].dump() + " requests";
   return line;
 }
 
-// Cuts a line to the width of the terminal: a wrapped line could not be overwritten.
+// Truncates a line to the width of the terminal, because a wrapped line cannot be overwritten in place.
 std::string truncateToTerminal(std::string line) {
   winsize size{};
   if (::ioctl(STDOUT_FILENO, TIOCGWINSZ, &size) == 0 && size.ws_col > 1 && line.size() >= size.ws_col)
@@ -97,7 +98,7 @@
       return *exitCode;
     }
     const auto message = client.receive(std::chrono::steady_clock::now() + kProgressTimeout);
-    if (!message) throw NoResponse(path, "no progress is told any more");
+    if (!message) throw NoResponse(path, "progress events stopped");
     if (message->contains("status")) status = (*message)["status"];
   }
 }
@@ -118,14 +119,14 @@
   for (const auto& [name, count] : openWork["by_type"].items())
     if (count != 0) classes += (classes.empty() ? " (" : ", ") + count.dump() + " " + name;
   if (!classes.empty()) line += classes + ")";
-  line += "  dispatches " + openWork["dispatches"].dump();
+  line += "  attempts " + openWork["dispatches"].dump();
   if (openWork["bytes_unsent"] != 0) line += "  unsent " + openWork["bytes_unsent"].dump() + " B";
-  if (openWork["jobs"] != 0) line += "  longest left " + seconds(openWork["longest_left_ms"]);
+  if (openWork["jobs"] != 0) line += "  longest time left " + seconds(openWork["longest_left_ms"]);
   if (!drain.is_null() && drain["deadline_in_ms"].get<std::int64_t>() > 0 && status["state"] != "drained")
     line += "  deadline in " + seconds(drain["deadline_in_ms"]);
   if (const Json& expectedCompletion = status["expected_end"];
       !expectedCompletion.is_null() && openWork["jobs"] != 0)
-    line += "  expected end (estimate) in " + seconds(expectedCompletion["in_ms"]);
+    line += "  estimated completion in " + seconds(expectedCompletion["in_ms"]);
   return line;
 }
 
@@ -166,16 +167,17 @@
                                controllerStatus["process"].dump() + ", up " +
                                seconds(controllerStatus["up_ms"]));
     printRow("state", controllerStatus["state"].get<std::string>() +
-                          (controllerStatus["stopping"] == true ? ", the process is to end" : ""));
+                          (controllerStatus["stopping"] == true ? ", process stopping" : ""));
     std::string classes;
     for (const auto& [name, count] : openWork["by_type"].items())
       classes += (classes.empty() ? "" : ", ") + count.dump() + " " + name;
-    printRow("open", openWork["jobs"].dump() + " jobs: " + classes + "; " + openWork["dispatches"].dump() +
-                         " dispatches out, " + openWork["bytes_unsent"].dump() + " bytes unsent");
-    printRow("since start", totals["taken"].dump() + " taken, " + totals["done"].dump() + " done, " +
-                                totals["throttled"].dump() + " throttled, " + totals["cancelled"].dump() +
-                                " cancelled for good, " + totals["left"].dump() + " left, " +
-                                totals["turned_away"].dump() + " turned away");
+    printRow("open", openWork["jobs"].dump() + " requests: " + classes + "; " +
+                         openWork["dispatches"].dump() + " attempts in flight, " +
+                         openWork["bytes_unsent"].dump() + " bytes unsent");
+    printRow("since start", totals["taken"].dump() + " accepted, " + totals["done"].dump() + " done, " +
+                                totals["throttled"].dump() + " rejected, " + totals["cancelled"].dump() +
+                                " failed, " + totals["left"].dump() + " abandoned, " +
+                                totals["turned_away"].dump() + " rejected by the drain");
     if (!drain.is_null())
       printRow(("drain " + drain["number"].dump()).c_str(), formatProgress(controllerStatus));
     return kExitSuccess;
--- a/src/command/drain_command.hpp
+++ b/src/command/drain_command.hpp
@@ -7,20 +7,21 @@
 
 namespace paddletrack::command {
 
-/// The options of `drain`; `status` uses `json` of them.
+/// The options of `drain`. `status` uses only `json`.
 struct DrainRequest {
-  std::optional<Duration> deadline;    // From now. None: as the controller is configured.
-  std::optional<Duration> retryAfter;  // Likewise.
+  std::optional<Duration> deadline;    // From now. std::nullopt: the controller's drain.deadline.
+  std::optional<Duration> retryAfter;  // std::nullopt: the controller's drain.come_back.
   bool cancel = false;
   bool watch = false;
   bool json = false;
 };
 
-// Each runs a command against the admin socket at `path` and returns the exit code. Errors are printed.
+/// Runs `drain` against the admin socket at `path` and returns the exit code. Errors are printed.
 int runDrainCommand(const std::string& path, const DrainRequest& request);
+/// Runs `status` against the admin socket at `path` and returns the exit code. Errors are printed.
 int runStatusCommand(const std::string& path, bool json);
 
-/// Returns one line of progress for a person.
+/// Returns a human-readable line of progress, made from a status of the admin protocol.
 std::string formatProgress(const Json& status);
 
 }  // namespace paddletrack::command
--- a/src/command/engines_command.cpp
+++ b/src/command/engines_command.cpp
@@ -15,21 +15,21 @@
 }
 
 void printEngine(const Json& engine) {
-  std::printf("%s  %s, %s connections, %s dispatches out\n", engine["engine"].get<std::string>().c_str(),
+  std::printf("%s  %s, %s connections, %s attempts in flight\n", engine["engine"].get<std::string>().c_str(),
               engine["standing"].get<std::string>().c_str(), engine["connections"].dump().c_str(),
               engine["dispatches"].dump().c_str());
   for (const Json& json : engine["addresses"]) {
     std::string line = "  " + json["state"].get<std::string>();
     line.resize(std::max<std::size_t>(line.size() + 1, 12), ' ');
-    line += json["address"].get<std::string>() + "  " + json["connections"].dump() + " connections, good " +
-            formatAgo(json["last_good_ms_ago"]);
+    line += json["address"].get<std::string>() + "  " + json["connections"].dump() +
+            " connections, last success " + formatAgo(json["last_good_ms_ago"]);
     if (const Json& lastFailure = json["last_failure"]; !lastFailure.is_null())
       line += ", " + lastFailure["what"].get<std::string>() + " " + formatAgo(lastFailure["ms_ago"]);
     if (json["rests_ms"] != 0)
-      line += ", rests for " + std::to_string(json["rests_ms"].get<int>() / 1000.0).substr(0, 5) + " s";
+      line += ", backing off for " + std::to_string(json["rests_ms"].get<int>() / 1000.0).substr(0, 5) + " s";
     if (!json["by_hand_left_ms"].is_null())
-      line +=
-          ", by hand for " + std::to_string(json["by_hand_left_ms"].get<std::int64_t>() / 1000) + " s more";
+      line += ", manual override for " + std::to_string(json["by_hand_left_ms"].get<std::int64_t>() / 1000) +
+              " s more";
     std::printf("%s\n", line.c_str());
   }
 }
@@ -60,7 +60,8 @@
       firstEngineId = response["next"].get<std::string>();
     }
     if (printedCount > 0 || engineId.empty()) return kExitSuccess;
-    return reportError(Error(ErrorKind::adminRequestRefused, "engine '" + engineId + "'", "it is not known"));
+    return reportError(
+        Error(ErrorKind::adminRequestRefused, "engine '" + engineId + "'", "not known to the controller"));
   } catch (const NoResponse& error) {
     return reportError(error);
   }
--- a/src/command/engines_command.hpp
+++ b/src/command/engines_command.hpp
@@ -8,7 +8,7 @@
 
 namespace paddletrack::command {
 
-/// Prints all engines, or only `engineId` if it is not empty. Returns the exit code; errors are printed.
+/// Prints all engines, or only `engineId` if it is not empty. Returns the exit code; prints errors.
 int runEnginesCommand(const std::string& path, const std::string& engineId, bool json);
 
 /// The options of `address`.
@@ -18,7 +18,7 @@
   addresses::AddressTable::ManualOverride addressOverride = addresses::AddressTable::ManualOverride::clear;
   Duration overrideDuration{0};
 };
-/// Sets or clears a manual override of an address. Returns the exit code; errors are printed.
+/// Sets or clears a manual override of an address. Returns the exit code; prints errors.
 int runAddressCommand(const std::string& path, const AddressOverrideRequest& request);
 
 }  // namespace paddletrack::command
--- a/src/command/rolling_drain_command.cpp
+++ b/src/command/rolling_drain_command.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::chrono::milliseconds kPollInterval{50};
 
-// One of the controllers. A connection that is broken is opened again for the next request.
+// A client of one controller. A broken connection is reopened for the next request.
 class ControllerClient {
  public:
   explicit ControllerClient(std::string path) : path_(std::move(path)) {}
@@ -39,13 +39,13 @@
       }
       lastStatus_ = status;
     } catch (const std::exception&) {
-      // The connection is broken, or the response is not a controller's.
+      // The connection is broken or the response is invalid: the controller counts as unreachable.
       client_.reset();
     }
     return observation;
   }
 
-  // Sends a request and prints why it failed, if it did.
+  // Sends a request. Prints the error if it fails.
   void execute(const std::string& request) {
     try {
       const Json response = call(request);
@@ -76,7 +76,7 @@
   return options;
 }
 
-// Performs the steps of a rolling drain until it has finished or failed.
+// Executes the steps of a rolling drain until it finishes or fails.
 class RollingDrainRunner {
  public:
   explicit RollingDrainRunner(const RollingDrainRequest& request)
@@ -100,7 +100,7 @@
   }
 
  private:
-  // Returns the exit code if the step is the last one.
+  // Returns the exit code after the last step, std::nullopt after any other.
   std::optional<int> perform(const drain::RollingDrain::Step& step) {
     using Action = drain::RollingDrain::Action;
     if (step.action == Action::finished) {
@@ -159,7 +159,7 @@
 
   void reportFinished() const {
     if (!request_.json)
-      std::printf("all %zu have been out and serve again\n", rollingDrain_.completedCount());
+      std::printf("all %zu controllers drained and serving again\n", rollingDrain_.completedCount());
   }
 
   void reportFailure(const ControllerClient& controller) const {
--- a/src/command/rolling_drain_command.hpp
+++ b/src/command/rolling_drain_command.hpp
@@ -11,13 +11,14 @@
 /// The options of `roll`.
 struct RollingDrainRequest {
   std::vector<std::string> sockets;
-  std::optional<Duration> drainTimeout;   // None: the default of RollingDrain.
-  std::optional<Duration> resumeTimeout;  // Likewise.
-  std::string maintenanceCommand;         // A shell command, run for each drained controller. Empty: none.
+  std::optional<Duration> drainTimeout;   // std::nullopt: the default of RollingDrain.
+  std::optional<Duration> resumeTimeout;  // std::nullopt: the default of RollingDrain.
+  std::string maintenanceCommand;  // A shell command that is run for each drained controller. May be empty.
   bool json = false;
 };
 
-/// Drains the controllers in turn. Returns the exit code; steps are printed, errors to standard error.
+/// Drains the controllers one at a time. Prints the steps to standard output and errors to standard error.
+/// Returns the exit code.
 int runRollCommand(const RollingDrainRequest& request);
 
 }  // namespace paddletrack::command
--- a/src/program/command_line.cpp
+++ b/src/program/command_line.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr const char* kExitCodesFooter =
-    "Exit codes: 0 done as asked, 1 broken, 2 a file or a value is wrong, 3 the deadline found jobs open, "
-    "4 cancelled by somebody, 5 no answer at the door, 6 refused; above 100 the command line is wrong.";
+    "Exit codes: 0 success, 1 failure, 2 invalid file or value, 3 requests still open at the deadline, "
+    "4 drain cancelled, 5 no response at the admin socket, 6 refused; above 100 invalid command line.";
 
 void addDurationOption(CLI::App* subcommand, const char* name, std::optional<Duration>& target,
                        const char* description) {
@@ -27,10 +27,12 @@
 }  // namespace
 
 void AdminSocketOption::addTo(CLI::App* subcommand) {
-  subcommand->add_option("-s,--socket", socketPath, "the controller's door")
+  subcommand->add_option("-s,--socket", socketPath, "the controller's admin socket")
       ->envname("PADDLETRACK_SOCKET")
       ->type_name("PATH");
-  subcommand->add_option("--operator", operatorConfigPath, "the operator's file, which names the door")
+  subcommand
+      ->add_option("--operator", operatorConfigPath,
+                   "the operator's file, which sets the admin socket (door.socket)")
       ->envname("GW_OPERATOR");
 }
 
@@ -41,14 +43,16 @@
     configuredPath = admin::readOperatorConfig(operatorConfigPath).adminServer.socketPath;
   if (configuredPath.empty())
     throw admin::OperatorConfigError(
-        operatorConfigPath, "no door is named: --socket, or --operator with a file that has door.socket");
+        operatorConfigPath,
+        "no admin socket given: expected --socket, or --operator with a file that sets door.socket");
   return configuredPath;
 }
 
-CommandLine::CommandLine() : app("A front for query engines with limited memory.", "paddletrack") {
+CommandLine::CommandLine()
+    : app("Admission controller for query engines with limited memory.", "paddletrack") {
   app.require_subcommand(1);
   app.footer(kExitCodesFooter);
-  // The help shows the commands in this order.
+  // The order of the commands in the help.
   addServeCommands();
   addDrainCommand();
   addStatusCommand();
@@ -81,69 +85,70 @@
 
 void CommandLine::addServeCommands() {
   serveCommand =
-      addConfigOptions(app.add_subcommand("serve", "serve until SIGTERM; SIGHUP reads the files again"));
-  checkCommand =
-      addConfigOptions(app.add_subcommand("check-config", "read the files and name what is wrong"));
-  checkCommand->add_flag("--print", printsValues, "show every value in force and where it came from");
+      addConfigOptions(app.add_subcommand("serve", "serve until SIGTERM; SIGHUP reloads the files"));
+  checkCommand = addConfigOptions(app.add_subcommand("check-config", "read the files and report errors"));
+  checkCommand->add_flag("--print", printsValues, "show every effective value and its origin");
 }
 
 void CommandLine::addDrainCommand() {
-  drainCommand = app.add_subcommand("drain", "take a controller out of service, or bring it back");
+  drainCommand = app.add_subcommand("drain", "take a controller out of service, or return it to service");
   adminSocket.addTo(drainCommand);
   addDurationOption(drainCommand, "--deadline", drainRequest.deadline,
-                    "when open jobs are ended, from now (else drain.deadline)");
+                    "time from now until open requests are ended (default: drain.deadline)");
   addDurationOption(drainCommand, "--come-back", drainRequest.retryAfter,
-                    "told to clients that are turned away (else drain.come_back)");
-  drainCommand->add_flag("--cancel", drainRequest.cancel, "bring it back into service")
+                    "Retry-After sent with rejected requests (default: drain.come_back)");
+  drainCommand->add_flag("--cancel", drainRequest.cancel, "cancel the drain and return to service")
       ->excludes("--deadline")
       ->excludes("--come-back");
-  drainCommand->add_flag("-w,--watch", drainRequest.watch, "show the progress until it has ended");
-  drainCommand->add_flag("--json", drainRequest.json, "JSON lines as the door tells them");
+  drainCommand->add_flag("-w,--watch", drainRequest.watch, "show the progress until the drain has ended");
+  drainCommand->add_flag("--json", drainRequest.json, "print the JSON lines of the admin server");
 }
 
 void CommandLine::addStatusCommand() {
   statusCommand = app.add_subcommand("status", "show what a controller is doing");
   adminSocket.addTo(statusCommand);
-  statusCommand->add_flag("--json", drainRequest.json, "as the door tells it");
+  statusCommand->add_flag("--json", drainRequest.json, "print the JSON of the admin server");
 }
 
 void CommandLine::addRollCommand() {
-  rollCommand = app.add_subcommand("roll", "take controllers out in turn, one at a time");
-  rollCommand->add_option("sockets", rollingDrainRequest.sockets, "their doors")
+  rollCommand = app.add_subcommand("roll", "drain several controllers, one at a time");
+  rollCommand->add_option("sockets", rollingDrainRequest.sockets, "the admin sockets of the controllers")
       ->required()
       ->type_name("SOCKET...");
-  addDurationOption(rollCommand, "--deadline", rollingDrainRequest.drainTimeout, "of each drain (else 20s)");
+  addDurationOption(rollCommand, "--deadline", rollingDrainRequest.drainTimeout,
+                    "deadline of each drain (default: 20s)");
   addDurationOption(rollCommand, "--back", rollingDrainRequest.resumeTimeout,
-                    "until each must serve again (else 30s)");
+                    "time within which each must serve again (default: 30s)");
   rollCommand
       ->add_option("--each", rollingDrainRequest.maintenanceCommand,
-                   "a shell command for each while it is out; PADDLETRACK_SOCKET names it")
+                   "shell command run for each drained controller; PADDLETRACK_SOCKET is its socket")
       ->type_name("COMMAND");
-  rollCommand->add_flag("--json", rollingDrainRequest.json, "JSON lines");
+  rollCommand->add_flag("--json", rollingDrainRequest.json, "print JSON lines");
 }
 
 void CommandLine::addEnginesCommand() {
   enginesCommand =
-      app.add_subcommand("engines", "show the engines, their addresses and what is known of each");
+      app.add_subcommand("engines", "show the engines, their addresses and the health of each address");
   adminSocket.addTo(enginesCommand);
-  enginesCommand->add_option("engine", engineId, "this one alone");
-  enginesCommand->add_flag("--json", drainRequest.json, "a JSON object a line");
+  enginesCommand->add_option("engine", engineId, "show only this engine");
+  enginesCommand->add_flag("--json", drainRequest.json, "print one JSON object per line");
 }
 
 void CommandLine::addAddressCommand() {
-  addressCommand = app.add_subcommand("address", "avoid or prefer an address of an engine for a while");
+  addressCommand =
+      app.add_subcommand("address", "avoid or prefer an address of an engine for a limited time");
   adminSocket.addTo(addressCommand);
   addressCommand->add_option("engine", overrideRequest_.engine)->required()->type_name("ENGINE");
   addressCommand->add_option("address", overrideRequest_.address)->required()->type_name("ADDRESS");
   CLI::Option_group* overrideOptions = addressCommand->add_option_group("what");
-  addDurationOption(overrideOptions, "--avoid", avoidDuration_, "tried last for so long");
-  addDurationOption(overrideOptions, "--use", preferDuration_, "tried first for so long");
-  overrideOptions->add_flag("--free", clearsOverride_, "as if nothing had been set");
+  addDurationOption(overrideOptions, "--avoid", avoidDuration_, "try the address last for this duration");
+  addDurationOption(overrideOptions, "--use", preferDuration_, "try the address first for this duration");
+  overrideOptions->add_flag("--free", clearsOverride_, "clear the override");
   overrideOptions->require_option(1);
 }
 
 void CommandLine::addShellCommands() {
-  completionCommand = app.add_subcommand("completion", "print a shell's completion of these commands");
+  completionCommand = app.add_subcommand("completion", "print the completion script of a shell");
   completionCommand->add_option("shell", shell_, "bash")->required()->check(CLI::IsMember({"bash"}));
   versionCommand = app.add_subcommand("version", "print the version");
 }
--- a/src/program/command_line.hpp
+++ b/src/program/command_line.hpp
@@ -11,18 +11,19 @@
 
 namespace paddletrack::program {
 
-/// The path of the admin socket: given directly, or as the operator's file has it.
+/// The path of the admin socket: given directly or read from the operator's file.
 struct AdminSocketOption {
   std::string socketPath;
   std::string operatorConfigPath;
 
   void addTo(CLI::App* subcommand);
-  /// Throws admin::OperatorConfigError if no path is known.
+  /// Throws admin::OperatorConfigError if neither source gives a path, and the errors of
+  /// admin::readOperatorConfig().
   std::string resolvePath() const;
 };
 
-/// The subcommands with their options, and the values that parsing stores. `app` is public for parsing and
-/// for the shell completion. Not copyable: the options refer to the members.
+/// The subcommands, their options and the parsed values. `app` is public for parsing and for the shell
+/// completion. Not copyable, because the options refer to the members.
 class CommandLine {
  public:
   CommandLine();
@@ -42,18 +43,18 @@
   CLI::App* completionCommand = nullptr;
   CLI::App* versionCommand = nullptr;
 
-  // serve and check-config
+  // Options of serve and check-config.
   std::string configPath;
   OperatorOptions operatorOptions;
   bool printsValues = false;
 
-  // Commands that talk to a controller.
+  // Options of the commands that connect to a controller.
   AdminSocketOption adminSocket;
   command::DrainRequest drainRequest;
   command::RollingDrainRequest rollingDrainRequest;
   std::string engineId;
 
-  /// The request of `address`, with the kind and the duration of its override.
+  /// Returns the request of `address` with the kind and the duration of its override.
   command::AddressOverrideRequest makeAddressOverrideRequest() const;
 
  private:
--- a/src/program/config_printer.cpp
+++ b/src/program/config_printer.cpp
@@ -11,7 +11,7 @@
   std::printf("%-24s = %-28s # %s\n", entry.key.c_str(), entry.value.c_str(), entry.origin.c_str());
 }
 
-// The entry as the command line overrides it.
+// Returns the entry with the overrides of the command line applied.
 Entry applyOverrides(Entry entry, const OperatorOptions& options) {
   if (entry.key == "log.form" && options.logFormatOverride) {
     entry.value = *options.logFormatOverride == admin::LogFormat::json ? "\"json\"" : "\"text\"";
--- a/src/program/config_printer.hpp
+++ b/src/program/config_printer.hpp
@@ -7,7 +7,7 @@
 
 namespace paddletrack::program {
 
-/// Prints every setting in force with its origin to standard output, one on a line.
+/// Prints every effective setting and its origin to standard output, one per line.
 void printConfig(const NodeConfig& nodeConfig, const std::string& nodeConfigPath,
                  const OperatorOptions& operatorOptions);
 
--- a/src/program/config_reloader.cpp
+++ b/src/program/config_reloader.cpp
@@ -5,7 +5,7 @@
 namespace paddletrack::program {
 namespace {
 
-constexpr const char* kReloadRejected = "not taken, the old one stays: ";
+constexpr const char* kReloadRejected = "rejected, keeping the current configuration: ";
 
 bool haveSameReconnectRates(const discovery::ReconnectOptions& left,
                             const discovery::ReconnectOptions& right) {
@@ -42,11 +42,13 @@
 void ConfigReloader::applyNodeConfig(const NodeConfig& newConfig) {
   const std::string foreignKey = findForeignKey(nodeConfig_, newConfig);
   if (!foreignKey.empty())
-    throw ConfigurationError(nodeConfigPath_ + ": " + foreignKey, "it is another controller's or customer's");
+    throw ConfigurationError(nodeConfigPath_ + ": " + foreignKey,
+                             "the file belongs to another controller or site");
   const std::string restartOnlyKeys = listRestartOnlyChanges(nodeConfig_, newConfig);
-  if (!restartOnlyKeys.empty()) log_.info("configuration", "only a restart changes " + restartOnlyKeys);
+  if (!restartOnlyKeys.empty())
+    log_.info("configuration", "takes effect only after a restart: " + restartOnlyKeys);
   const bool hasSwitched = endpointWatcher_.switchTo(newConfig.endpointListAddress);
-  log_.info("configuration", hasSwitched ? "read again: the change log has moved" : "read again");
+  log_.info("configuration", hasSwitched ? "reloaded: endpoint list address changed" : "reloaded");
 }
 
 void ConfigReloader::reloadOperatorConfig() {
@@ -55,7 +57,7 @@
     admin::OperatorConfig newConfig = admin::readOperatorConfig(operatorOptions_.configPath);
     keepRestartOnlySections(newConfig);
     applyOperatorConfig(std::move(newConfig));
-    log_.info("configuration", "the operator's file is read again");
+    log_.info("configuration", "operator's file reloaded");
   } catch (const std::exception& error) {
     log_.warning("configuration", toError(error, operatorOptions_.configPath), {}, kReloadRejected);
   }
@@ -66,18 +68,18 @@
   const auto keepCurrent = [this](auto& newSection, const auto& currentSection, bool isSame,
                                   const char* description) {
     if (isSame) return;
-    log_.info("configuration", std::string("only a restart changes ") + description);
+    log_.info("configuration", std::string("takes effect only after a restart: ") + description);
     newSection = currentSection;
   };
   keepCurrent(newConfig.adminServer, current.adminServer, newConfig.adminServer == current.adminServer,
-              "the door");
-  keepCurrent(newConfig.gossip, current.gossip, newConfig.gossip == current.gossip, "what is shared");
+              "admin server (door)");
+  keepCurrent(newConfig.gossip, current.gossip, newConfig.gossip == current.gossip, "gossip (share)");
   keepCurrent(newConfig.reconnect, current.reconnect,
               haveSameReconnectRates(newConfig.reconnect, current.reconnect), "coldstart");
   keepCurrent(newConfig.rebalance, current.rebalance, newConfig.rebalance == current.rebalance,
-              "the rebalancing");
+              "rebalancing (rebalance)");
   keepCurrent(newConfig.counterfactual, current.counterfactual,
-              newConfig.counterfactual == current.counterfactual, "what is kept to look back at");
+              newConfig.counterfactual == current.counterfactual, "decision records (hindsight)");
 }
 
 void ConfigReloader::applyOperatorConfig(admin::OperatorConfig newConfig) {
--- a/src/program/config_reloader.hpp
+++ b/src/program/config_reloader.hpp
@@ -11,8 +11,8 @@
 
 namespace paddletrack::program {
 
-/// Reads both configuration files again and applies what can change without a restart. A file with an error
-/// is logged and leaves everything as it was. All references must outlive the reloader.
+/// Reloads both configuration files and applies the settings that can change without a restart. If a file is
+/// invalid, the error is logged and its current settings are kept. All references must outlive the reloader.
 class ConfigReloader {
  public:
   ConfigReloader(std::string nodeConfigPath, const NodeConfig& nodeConfig, OperatorOptions& operatorOptions,
@@ -26,7 +26,7 @@
   void reloadNodeConfig();
   void applyNodeConfig(const NodeConfig& newConfig);
   void reloadOperatorConfig();
-  /// Puts the current value back wherever `newConfig` changes what only a restart can change.
+  /// Restores the current value of every section in `newConfig` that can change only by a restart.
   void keepRestartOnlySections(admin::OperatorConfig& newConfig) const;
   void applyOperatorConfig(admin::OperatorConfig newConfig);
 
--- a/src/program/counterfactual_reporter.hpp
+++ b/src/program/counterfactual_reporter.hpp
@@ -12,21 +12,22 @@
 
 namespace paddletrack::program {
 
-/// Owns the records of decisions, evaluates them and publishes the result. An evaluation is reused for two
-/// seconds, however often it is asked for. The references must outlive the reporter.
+/// Owns the decision records, evaluates them and publishes the result. An evaluation is cached for two
+/// seconds. The references must outlive the reporter.
 class CounterfactualReporter {
  public:
   CounterfactualReporter(const NodeConfig& nodeConfig, const admin::CounterfactualOptions& options,
                          const routing::RequestRouter& router);
 
-  /// The recorder that the router is to report decisions to.
+  /// The recorder to which the router reports its decisions.
   counterfactual::DecisionRecorder& recorder() { return recorder_; }
 
-  /// Writes the summary into the gossip store, if it has changed since it was last written. `now` is on the
-  /// store's clock.
+  /// Writes the summary to the gossip store if it has changed since the last write. `now` is on the store's
+  /// clock.
   void publish(gossip::Store& store, Duration now);
 
-  /// The report on this controller and, with a `store`, on the fleet. `now` is on the store's clock.
+  /// Returns the report on this controller and, if `store` is not null, on the fleet. `now` is on the store's
+  /// clock.
   admin::CounterfactualStatus status(const gossip::Store* store, Duration now);
 
  private:
@@ -38,8 +39,8 @@
   counterfactual::DecisionRecorder recorder_;
   std::vector<counterfactual::EncodedEntry> entries_;
   std::size_t recordCount_ = 0;
-  std::uint64_t version_ = 0;           // Of `entries_`; 0: not evaluated yet.
-  std::uint64_t publishedVersion_ = 0;  // The version that the gossip store holds.
+  std::uint64_t version_ = 0;           // Of `entries_`; 0 before the first evaluation.
+  std::uint64_t publishedVersion_ = 0;  // The version in the gossip store.
   Duration refreshedAt_{0};
 };
 
--- a/src/program/gossip_options.cpp
+++ b/src/program/gossip_options.cpp
@@ -6,7 +6,8 @@
 namespace paddletrack::program {
 namespace {
 
-// Later starts have later times. A clock that was set back is noticed by the incarnation that peers hold.
+// The incarnation is the wall clock time of the start, so that it grows with each restart. A clock that was
+// set back is detected by the later incarnation that the peers still hold.
 std::uint64_t makeIncarnation() {
   const auto wallTime = std::chrono::system_clock::now().time_since_epoch();
   const std::int64_t ticks = std::chrono::duration_cast<Duration>(wallTime).count();
@@ -19,8 +20,8 @@
                                                                 const admin::GossipOptions& options) {
   if (options.listenAddress.empty()) return std::nullopt;
   if (nodeConfig.name.empty() || nodeConfig.name.size() > gossip::kMaxOwnerBytes)
-    throw ConfigurationError("name: 1 to " + std::to_string(gossip::kMaxOwnerBytes) +
-                             " bytes are wanted where the operator's file has share.listen");
+    throw ConfigurationError("name: must have 1 to " + std::to_string(gossip::kMaxOwnerBytes) +
+                             " bytes if the operator's file sets share.listen");
   gossip::GossipTransportOptions gossipOptions{
       transport::Address(options.listenAddress), options.cluster, {}, {}};
   gossip::StoreOptions& storeOptions = gossipOptions.storeOptions;
--- a/src/program/gossip_options.hpp
+++ b/src/program/gossip_options.hpp
@@ -8,8 +8,8 @@
 
 namespace paddletrack::program {
 
-/// The transport's options for this node; none if the operator's file does not switch gossip on. Throws
-/// ConfigurationError if the node's name can't be used among the controllers.
+/// Returns the options of this node's gossip transport, or std::nullopt if the operator's file does not
+/// enable gossip. Throws ConfigurationError if the node's name is empty or too long for a gossip owner.
 std::optional<gossip::GossipTransportOptions> makeGossipOptions(const NodeConfig& nodeConfig,
                                                                 const admin::GossipOptions& options);
 
--- a/src/program/gossip_status.hpp
+++ b/src/program/gossip_status.hpp
@@ -5,7 +5,7 @@
 
 namespace paddletrack::program {
 
-/// Reports what the controllers share at this instant. `options` are those the transport was made with.
+/// Returns the current state of gossip. `options` are those with which the transport was created.
 admin::GossipStatus makeGossipStatus(gossip::GossipTransport& gossipTransport,
                                      const gossip::GossipTransportOptions& options);
 
--- a/src/program/load_publishing.hpp
+++ b/src/program/load_publishing.hpp
@@ -5,7 +5,7 @@
 
 namespace paddletrack::program {
 
-/// Publishes this controller's load, by engine and in total, if the next heartbeat is due at `now` (on the
+/// Publishes this controller's load, per engine and in total, if the next heartbeat is due at `now` (on the
 /// gossip store's clock).
 void publishLoad(gossip::LoadPublisher& loadPublisher, Duration now, const routing::RequestRouter& router);
 
--- a/src/program/log_writer.cpp
+++ b/src/program/log_writer.cpp
@@ -11,7 +11,7 @@
 namespace paddletrack::program {
 namespace {
 
-constexpr unsigned kMaxLinesPerSecond = 5;  // Of each topic.
+constexpr unsigned kMaxLinesPerSecond = 5;  // Per topic.
 
 spdlog::level::level_enum toSpdlogLevel(LogLevel level) {
   static constexpr std::array<spdlog::level::level_enum, 4> kLevels{spdlog::level::debug, spdlog::level::info,
@@ -19,11 +19,12 @@
   return kLevels[static_cast<std::size_t>(level)];
 }
 
-// A pipe that is writable takes 4,096 bytes at once; a message of this size has fewer with its fields.
+// A writable pipe accepts 4,096 bytes without blocking; a line with a message of this size and its fields is
+// shorter.
 constexpr std::size_t kMaxMessageBytes = 2048;
 
-// The reader of the log may have stopped, and the process has one thread: a line that would block is
-// suppressed. A failed poll() counts as writable.
+// The process has a single thread, and the reader of the log may have stopped: a line whose write would block
+// is suppressed. A failed poll() counts as writable.
 bool canWriteToStderr() {
   pollfd standardError{STDERR_FILENO, POLLOUT, 0};
   return ::poll(&standardError, 1, 0) != 0;
@@ -39,7 +40,7 @@
                               {"text", message}};
   for (const auto& [name, value] : record.fields) line[name] = value;
   if (suppressedCount > 0) line["left_out_before"] = suppressedCount;
-  // Bytes that come from peers need not be UTF-8.
+  // Messages can contain bytes from peers, which need not be valid UTF-8.
   return line.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
 }
 
@@ -47,10 +48,10 @@
                            std::uint64_t suppressedCount) {
   constexpr unsigned char kFirstPrintable = 0x20;
   std::string line = std::string(record.topic) + ": " + message;
-  // Bytes that come from peers must not start lines of their own.
+  // Messages can contain bytes from peers: control characters must not break the line.
   for (char& character : line)
     if (static_cast<unsigned char>(character) < kFirstPrintable) character = ' ';
-  if (suppressedCount > 0) line += " (" + std::to_string(suppressedCount) + " more like it before)";
+  if (suppressedCount > 0) line += " (" + std::to_string(suppressedCount) + " lines suppressed before)";
   return line;
 }
 
--- a/src/program/log_writer.hpp
+++ b/src/program/log_writer.hpp
@@ -15,8 +15,8 @@
 
 namespace paddletrack::program {
 
-/// Writes log records to standard error. Each topic has a limit of lines per second, and a line that would
-/// block is not written; the next line of the topic says how many were suppressed.
+/// Writes log records to standard error. The lines per second of each topic are limited, and a line whose
+/// write would block is dropped; the next line of the topic states how many were suppressed.
 class LogWriter {
  public:
   LogWriter();
@@ -25,7 +25,7 @@
   ~LogWriter();
 
   void write(const LogRecord& record);
-  /// Sets the format and the levels from now on. Topics without a level of their own have `level`.
+  /// Sets the format and the levels of subsequent records. `level` applies to topics without their own level.
   void configure(admin::LogFormat format, LogLevel level, const std::map<std::string, LogLevel>& topicLevels);
 
  private:
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -1,4 +1,4 @@
-/// The paddletrack program: parses the command line and runs the command that it names.
+/// The paddletrack program: parses the command line and runs the selected command.
 #include <cstdio>
 #include <exception>
 #include <string>
@@ -25,8 +25,8 @@
     printConfig(nodeConfig, configPath, commandLine.operatorOptions);
     return command::kExitSuccess;
   }
-  std::printf("%s: %s is in order\n", configPath.c_str(), nodeConfig.name.c_str());
-  if (!operatorConfigPath.empty()) std::printf("%s: in order\n", operatorConfigPath.c_str());
+  std::printf("%s: %s is valid\n", configPath.c_str(), nodeConfig.name.c_str());
+  if (!operatorConfigPath.empty()) std::printf("%s: valid\n", operatorConfigPath.c_str());
   return command::kExitSuccess;
 }
 
--- a/src/program/node_config.cpp
+++ b/src/program/node_config.cpp
@@ -12,12 +12,12 @@
 
 constexpr std::size_t kMinDescriptors = 32;
 constexpr std::size_t kMinMemoryMb = 16;
-// No machine has more: the kernel's limit of descriptors, and memory whose bytes can still be counted.
+// The kernel's limit of descriptors, and a limit that keeps the memory size in bytes from overflowing.
 constexpr std::size_t kMaxDescriptors = std::size_t{1} << 30;
 constexpr std::size_t kMaxMemoryMb = std::size_t{1} << 40;
 constexpr std::size_t kBytesPerMbShift = 20;
-constexpr std::size_t kMaxQuotedBytes = 40;  // Of a wrong value in an error.
-// Clients state their times in milliseconds.
+constexpr std::size_t kMaxQuotedBytes = 40;  // Of an invalid value in an error message.
+// Clients specify times in milliseconds.
 constexpr Duration kMinDuration = std::chrono::milliseconds(1);
 
 transport::Address readAddress(const protocol::Json& object, const char* key) {
@@ -38,23 +38,23 @@
   } catch (const protocol::ParseError& error) {
     throw protocol::ParseError(key, "'" + sourceText + "': " + error.message());
   }
-  throw protocol::ParseError(key, "'" + sourceText + "': from " + std::to_string(minValue) + " to " +
-                                      std::to_string(maxValue) + " is wanted");
+  throw protocol::ParseError(key, "'" + sourceText + "': expected a number from " + std::to_string(minValue) +
+                                      " to " + std::to_string(maxValue) + " (inclusive)");
 }
 
-// Requests and events refer to these items by name: each must have one, and no two the same.
+// Requests and endpoint events refer to these items by name, so that names must be non-empty and unique.
 void checkNames(const std::vector<std::string>& names, const std::string& list, const std::string& key) {
   for (std::size_t index = 0; index < names.size(); ++index) {
     const std::string location =
         "settings: " + list + (key.empty() ? "" : "." + std::to_string(index) + "." + key);
-    if (names[index].empty()) throw protocol::ParseError(location, "'' is no name");
+    if (names[index].empty()) throw protocol::ParseError(location, "must not be empty, found ''");
     if (std::find(names.begin(), names.begin() + static_cast<std::ptrdiff_t>(index), names[index]) !=
         names.begin() + static_cast<std::ptrdiff_t>(index))
-      throw protocol::ParseError(location, "'" + names[index] + "' stands twice");
+      throw protocol::ParseError(location, "duplicate name '" + names[index] + "'");
   }
 }
 
-// Checks the settings that a controller can't do without. A missing value was decoded as 0 or as empty.
+// Checks the required settings. A missing value has been decoded as 0 or as empty.
 void checkRequiredSettings(const protocol::ControllerConfig& controllerConfig,
                            const protocol::FlatSettings& flatSettings) {
   const auto require = [&](const std::string& key, bool isValid) {
@@ -62,7 +62,7 @@
     const auto setting = flatSettings.find(key);
     throw protocol::ParseError("settings: " + key, setting == flatSettings.end()
                                                        ? "is missing"
-                                                       : "'" + setting->second + "' is too little");
+                                                       : "'" + setting->second + "' is too small");
   };
   require("balancers", flatSettings.count("balancers") > 0);
   require("zones", !controllerConfig.zoneNames.empty());
@@ -87,11 +87,11 @@
   const auto [end, error] = std::from_chars(text.data(), textEnd, seed, kHexBase);
   if (error != std::errc{} || end != textEnd)
     throw protocol::ParseError("seed",
-                               "'" + text.substr(0, kMaxQuotedBytes) + "': up to 16 hex digits are wanted");
+                               "'" + text.substr(0, kMaxQuotedBytes) + "': expected up to 16 hex digits");
   return seed;
 }
 
-// Runs `parse` and adds the file, and the key if one is known, to its errors.
+// Runs `parse` and adds the file and, if it is known, the key to its errors.
 template <typename Parse>
 auto withFileContext(const std::string& filePath, Parse parse) {
   try {
@@ -118,7 +118,7 @@
   std::ifstream file(path, std::ios::binary);
   std::ostringstream text;
   if (PADDLETRACK_CALL(-1, "configuration.open", "EMFILE ENOENT", 0) != 0 || !file || !(text << file.rdbuf()))
-    throw FileReadError(path, "can't be read");
+    throw FileReadError(path, "cannot be read");
   return withFileContext(path, [&] {
     const protocol::Json document = protocol::parseJson(text.str());
     NodeConfig config{document.getString("name"),
@@ -163,20 +163,20 @@
 
 std::string listRestartOnlyChanges(const NodeConfig& current, const NodeConfig& candidate) {
   std::string differingKeys;
-  const auto noteDifference = [&](bool isSame, const std::string& key) {
+  const auto addIfDifferent = [&](bool isSame, const std::string& key) {
     if (!isSame) differingKeys += (differingKeys.empty() ? "" : ", ") + key;
   };
-  noteDifference(current.name == candidate.name, "name");
-  noteDifference(current.listenAddress == candidate.listenAddress, "listen");
-  noteDifference(current.memoryLimitBytes == candidate.memoryLimitBytes, "limits.memory_mb");
-  noteDifference(current.descriptorLimit == candidate.descriptorLimit, "limits.sockets");
+  addIfDifferent(current.name == candidate.name, "name");
+  addIfDifferent(current.listenAddress == candidate.listenAddress, "listen");
+  addIfDifferent(current.memoryLimitBytes == candidate.memoryLimitBytes, "limits.memory_mb");
+  addIfDifferent(current.descriptorLimit == candidate.descriptorLimit, "limits.sockets");
   for (const auto& [key, value] : current.flatSettings) {
     const auto candidateSetting = candidate.flatSettings.find(key);
-    noteDifference(candidateSetting != candidate.flatSettings.end() && candidateSetting->second == value,
+    addIfDifferent(candidateSetting != candidate.flatSettings.end() && candidateSetting->second == value,
                    "settings." + key);
   }
   for (const auto& [key, value] : candidate.flatSettings)
-    noteDifference(current.flatSettings.count(key) > 0, "settings." + key);
+    addIfDifferent(current.flatSettings.count(key) > 0, "settings." + key);
   return differingKeys;
 }
 
--- a/src/program/node_config.hpp
+++ b/src/program/node_config.hpp
@@ -15,7 +15,7 @@
   using ErrorOfKind::ErrorOfKind;
 };
 
-/// The configuration of one controller, read and checked.
+/// The validated configuration of one controller.
 struct NodeConfig {
   std::string name;
   transport::Address listenAddress;
@@ -23,21 +23,21 @@
   std::uint64_t seed = 0;
   std::size_t memoryLimitBytes = 0;
   std::size_t descriptorLimit = 0;
-  std::uint64_t knownSequence = 0;  // Number of the last endpoint event in this file.
+  std::uint64_t knownSequence = 0;  // Sequence number of the last endpoint event in this file.
   std::vector<protocol::EndpointEvent> endpointEvents;
-  protocol::FlatSettings flatSettings;          // The settings as written.
-  protocol::ControllerConfig controllerConfig;  // The settings decoded.
+  protocol::FlatSettings flatSettings;          // The settings as written in the file.
+  protocol::ControllerConfig controllerConfig;  // The decoded settings.
 };
 
-/// Throws FileReadError or ConfigurationError.
+/// Reads and validates the file at `path`. Throws FileReadError or ConfigurationError.
 NodeConfig readNodeConfig(const std::string& path);
 
-/// Returns the key, with its value, that shows `candidate` to be the file of another controller or customer;
-/// empty if it is not. The endpoint list of such a file names zones and machine types that are unknown here
-/// or mean something else.
+/// Returns the key, with its value, by which `candidate` is the file of another controller or site, or an
+/// empty string if it is not. The endpoint list of such a file names zones and machine types that are unknown
+/// here or have another meaning.
 std::string findForeignKey(const NodeConfig& current, const NodeConfig& candidate);
 
-/// Lists the keys that differ and take effect only after a restart, for the log; empty if there are none.
+/// Lists, for the log, the keys that differ and take effect only after a restart; empty if there are none.
 std::string listRestartOnlyChanges(const NodeConfig& current, const NodeConfig& candidate);
 
 }  // namespace paddletrack::program
--- a/src/program/operator_options.hpp
+++ b/src/program/operator_options.hpp
@@ -7,7 +7,7 @@
 
 namespace paddletrack::program {
 
-/// The operator's settings: the operator's file, if there is one, and what the command line overrides in it.
+/// The operator's settings: the operator's file, if there is one, and the overrides of the command line.
 struct OperatorOptions {
   std::string configPath;  // Empty if there is no operator's file.
   admin::OperatorConfig config = admin::defaultOperatorConfig();
--- a/src/program/resource_budget.cpp
+++ b/src/program/resource_budget.cpp
@@ -7,20 +7,20 @@
 namespace paddletrack::program {
 namespace {
 
-constexpr std::size_t kOutputMemoryDivisor = 4;       // A fourth of the memory is for bytes to be sent.
+constexpr std::size_t kOutputMemoryDivisor = 4;       // A quarter of the memory is for output buffers.
 constexpr std::size_t kInputMemoryDivisor = 8;        // An eighth is for requests that are being received.
-constexpr std::size_t kOpenRequestMemoryDivisor = 4;  // A fourth is for open requests.
-constexpr std::size_t kOpenRequestBytes = 8192;       // Estimated cost of an open request with its response.
+constexpr std::size_t kOpenRequestMemoryDivisor = 4;  // A quarter is for open requests.
+constexpr std::size_t kOpenRequestBytes = 8192;  // Estimated memory of an open request with its response.
 constexpr std::size_t kMaxFrameBytes = std::size_t{1} << 20;
 
 constexpr std::size_t kMinConnectionDescriptors = 14;  // For clients and engines together.
 constexpr std::size_t kStandardStreams = 3;
 constexpr std::size_t kServiceDescriptors = 3;    // epoll, signals and the client listener.
-constexpr std::size_t kDiscoveryDescriptors = 2;  // The endpoint list and the one that the node switches to.
-constexpr std::size_t kSpareDescriptors = 2;      // One for a file that is reloaded and one in reserve.
+constexpr std::size_t kDiscoveryDescriptors = 2;  // The current endpoint list and the one that replaces it.
+constexpr std::size_t kSpareDescriptors = 2;      // One for reloading a file and one in reserve.
 constexpr std::size_t kReservedDescriptors =
     kStandardStreams + kServiceDescriptors + kDiscoveryDescriptors + kSpareDescriptors;
-constexpr std::size_t kAdminServerDescriptors = 2;  // Beside its clients: the listener and a refused client.
+constexpr std::size_t kAdminServerDescriptors = 2;  // The listener and a client that is being refused.
 constexpr std::size_t kGossipDescriptors = 1;
 
 std::size_t countReservedDescriptors(const admin::OperatorConfig& config) {
@@ -32,7 +32,8 @@
 }
 
 std::size_t countConnectionDescriptors(std::size_t limit, std::size_t reserved, std::size_t inherited) {
-  // Many inherited descriptors do not prevent the start: they reduce only what exceeds the minimum.
+  // Inherited descriptors reduce only the part above the minimum, so that many of them do not prevent the
+  // start.
   const std::size_t maxDeductible = limit - reserved - kMinConnectionDescriptors;
   return limit - reserved - std::min(inherited, maxDeductible);
 }
@@ -56,16 +57,16 @@
                                      std::size_t inheritedDescriptors) {
   const std::size_t reservedDescriptors = countReservedDescriptors(operatorOptions.config);
   if (reservedDescriptors + kMinConnectionDescriptors > nodeConfig.descriptorLimit)
-    throw ConfigurationError(
-        operatorOptions.configPath + ": door.clients",
-        std::to_string(operatorOptions.config.adminServer.maxClients) + " leave too few of limits.sockets");
+    throw ConfigurationError(operatorOptions.configPath + ": door.clients",
+                             std::to_string(operatorOptions.config.adminServer.maxClients) +
+                                 " clients leave too few descriptors of limits.sockets");
   const std::size_t connectionDescriptors =
       countConnectionDescriptors(nodeConfig.descriptorLimit, reservedDescriptors, inheritedDescriptors);
   const std::size_t inputBytes = nodeConfig.memoryLimitBytes / kInputMemoryDivisor;
 
   ResourceBudget budget;
-  // Engines are few, so that clients get two thirds. However many descriptors there are, the memory has room
-  // for a request of each client.
+  // Clients get two thirds, because there are fewer engines than clients. The input memory has room for a
+  // request of each client, however many descriptors are available.
   budget.maxClientConnections = std::min(connectionDescriptors * 2 / 3, inputBytes / kOpenRequestBytes);
   budget.maxEngineConnections = connectionDescriptors - budget.maxClientConnections;
   budget.maxOpenRequests =
--- a/src/program/server.cpp
+++ b/src/program/server.cpp
@@ -15,7 +15,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kCountsInterval{10000};  // Between two log lines of counts.
+constexpr milliseconds kCountsInterval{10000};  // Interval between log lines of counts.
 
 rebalance::RebalanceOptions makeRebalanceOptions(const admin::RebalanceOptions& options) {
   return {static_cast<rebalance::Bytes>(options.engineCapacityBytes),
@@ -69,7 +69,8 @@
   if (deployment.allowsHealthChecks || deployment.allowsPeerReports ||
       deployment.progressInterval > Duration{0})
     log_.info("unsupported",
-              "the settings allow probes, peers or notes: there is no message for these, they are not used");
+              "settings enable health checks, peer reports or progress reports; not supported by the "
+              "protocol, ignored");
 }
 
 void Server::startRouter() {
@@ -95,7 +96,7 @@
 void Server::startEndpointWatcher() {
   discovery::ReconnectOptions reconnectOptions = operatorOptions_.config.reconnect;
   reconnectOptions.controllerCount = nodeConfig_.controllerConfig.deployment.controllerCount;
-  // Controllers that were given the same seed by mistake still reconnect at different times.
+  // Controllers that are configured with the same seed by mistake must still reconnect at different times.
   const std::uint64_t watcherSeed = nodeConfig_.seed ^ std::hash<std::string>()(nodeConfig_.name);
   endpointWatcher_ = std::make_unique<routing::EndpointWatcher>(
       scheduler_, outputBudget_, nodeConfig_.endpointListAddress, nodeConfig_.knownSequence, watcherSeed,
@@ -123,9 +124,9 @@
   gossip_->transport.addBeforeRoundHook(
       [this](Duration now) { publishLoad(gossip_->loadPublisher, now, *router_); });
   lifecycle_->setGossipSource([this] { return makeGossipStatus(gossip_->transport, gossip_->options); });
-  log_.info("share", "with " + std::to_string(gossip_->options.gossipOptions.peers.size()) + " peers, at " +
-                         operatorOptions_.config.gossip.listenAddress + ", cluster " +
-                         gossip_->options.cluster);
+  log_.info("share", "gossip with " + std::to_string(gossip_->options.gossipOptions.peers.size()) +
+                         " peers, listening on " + operatorOptions_.config.gossip.listenAddress +
+                         ", cluster " + gossip_->options.cluster);
 }
 
 void Server::startRebalancing() {
@@ -145,7 +146,7 @@
     gossip_->transport.addBeforeRoundHook(
         [this](Duration now) { counterfactualReporter_->publish(gossip_->transport.store(), now); });
   lifecycle_->setCounterfactualSource([this] { return counterfactualStatus(); });
-  log_.info("hindsight", std::to_string(options.maxRecords) + " records at most");
+  log_.info("hindsight", std::to_string(options.maxRecords) + " decision records at most");
 }
 
 admin::CounterfactualStatus Server::counterfactualStatus() {
@@ -166,7 +167,7 @@
     try {
       handleSignal(signal);
     } catch (const std::exception& error) {
-      // A server that has handled half of a signal would neither serve nor stop.
+      // A server that has handled a signal only partly would neither serve nor stop.
       std::_Exit(command::reportError(toError(error, "a signal's work")));
     }
   }
@@ -187,15 +188,16 @@
         std::chrono::duration_cast<milliseconds>(scheduler_.takeMaxTimerLateness()).count();
     log_.info("counts", clientListener_->formatCounts());
     log_.info("counts",
-              router_->formatCounts() + "; a timer " + std::to_string(maxLatenessMs) + " ms late at most");
+              router_->formatCounts() + "; timers up to " + std::to_string(maxLatenessMs) + " ms late");
   }
 }
 
 void Server::reportStart() const {
-  if (adminServer_) log_.info("door", "open at " + operatorOptions_.config.adminServer.socketPath);
+  if (adminServer_)
+    log_.info("door", "admin server listening on " + operatorOptions_.config.adminServer.socketPath);
   const std::size_t classCount = nodeConfig_.controllerConfig.deployment.requestClasses.size();
-  log_.info("serving", nodeConfig_.name + ", " + std::to_string(classCount) + " reservation types, " +
-                           std::to_string(nodeConfig_.endpointEvents.size()) + " known changes");
+  log_.info("serving", nodeConfig_.name + ", " + std::to_string(classCount) + " request classes, " +
+                           std::to_string(nodeConfig_.endpointEvents.size()) + " known endpoint events");
 }
 
 }  // namespace paddletrack::program
--- a/src/program/server.hpp
+++ b/src/program/server.hpp
@@ -25,12 +25,12 @@
 
 namespace paddletrack::program {
 
-/// The controller that runs in this process. The members are its parts in the order of their construction;
-/// each refers only to parts above it. A part that the operator's file does not switch on is null.
+/// The controller that runs in this process. The members are its components in the order of construction;
+/// each refers only to components above it. A component that the operator's file does not enable is null.
 class Server {
  public:
-  /// Starts all parts. `nodeConfig` must outlive the server. Throws ConfigurationError and Error where the
-  /// configuration, the system or an address prevents the start.
+  /// Starts all components. `nodeConfig` must outlive the server. Throws ConfigurationError or another Error
+  /// if the configuration, the system or an address prevents the start.
   Server(const NodeConfig& nodeConfig, const std::string& nodeConfigPath, OperatorOptions operatorOptions);
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
@@ -40,7 +40,7 @@
   void run();
 
  private:
-  /// The parts that share state with other controllers.
+  /// The components that share state with other controllers.
   struct Gossip {
     Gossip(transport::Scheduler& scheduler, gossip::GossipTransportOptions transportOptions,
            const Logger& log);
--- a/src/program/signal_receiver.cpp
+++ b/src/program/signal_receiver.cpp
@@ -33,7 +33,7 @@
 void blockSignals() {
   const sigset_t signals = handledSignals();
   sigprocmask(SIG_BLOCK, &signals, nullptr);
-  std::signal(SIGPIPE, SIG_IGN);  // For the log: sockets are written to with MSG_NOSIGNAL.
+  std::signal(SIGPIPE, SIG_IGN);  // For writes to the log. Sockets are written to with MSG_NOSIGNAL.
 }
 
 SignalReceiver::SignalReceiver(transport::Scheduler& scheduler)
@@ -45,7 +45,7 @@
     const ssize_t received = PADDLETRACK_CALL(descriptor_.fd(), "read", "again EINTR",
                                               ::read(descriptor_.fd(), &info, sizeof info));
     if (received == static_cast<ssize_t>(sizeof info)) co_return static_cast<int>(info.ssi_signo);
-    // A signal that is pending already causes no new event, so that the read has to be repeated at once.
+    // The edge-triggered event of a pending signal is not repeated, so that the read is retried immediately.
     if (received < 0 && errno == EINTR) continue;
     co_await descriptor_.readable.wait();
   }
--- a/src/program/signal_receiver.hpp
+++ b/src/program/signal_receiver.hpp
@@ -5,13 +5,13 @@
 namespace paddletrack::program {
 
 /// Blocks the signals that the server handles: SIGTERM and SIGINT stop it, SIGHUP reloads its configuration.
-/// To be called before anything else, so that a signal during the start waits for its handler.
+/// Must be called before anything else, so that a signal during the start stays pending until it is handled.
 void blockSignals();
 
 /// Delivers the blocked signals to a coroutine. `scheduler` must outlive the receiver.
 class SignalReceiver {
  public:
-  /// Throws SystemCallError if the system provides no descriptor.
+  /// Throws SystemCallError if the signal descriptor cannot be created.
   explicit SignalReceiver(transport::Scheduler& scheduler);
   /// Waits for the next signal and returns its number.
   transport::Task<int> receive();
