--- a/tests/program/deploy_build_test.cpp
+++ b/tests/program/deploy_build_test.cpp
@@ -1,5 +1,5 @@
-// The check that the deploy file's build line needs nothing undeclared (.ci/deploy-build), on small projects
-// that each break one of its conditions.
+// Tests .ci/deploy-build, which checks that the build line of the deploy file depends only on declared
+// packages and committed files. Each sample project violates one of its conditions.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -33,13 +33,13 @@
   return result;
 }
 
-// A git repository with a project that passes the check: one program, one declared package.
+// Creates a git repository with a project that passes the check: one program and one declared package.
 class DeployBuild : public ::testing::Test {
  protected:
   DeployBuild() {
-    // The ordinary user that builds has to reach the directory for temporary files.
+    // The unprivileged user that runs the build must be able to reach the directory for temporary files.
     fs::permissions(directory_.path(), fs::perms::others_exec, fs::perm_options::add);
-    fs::create_directories(temporary_);
+    fs::create_directories(temporaryPath_);
     write("src/answer.hpp", "inline int answer() { return 0; }\n");
     write("src/main.cpp", kMainSource);
     write("CMakeLists.txt", kCMakeLists);
@@ -54,7 +54,7 @@
     std::ofstream(file) << text;
   }
 
-  // The file's text with one part put in place of another, which has to be there.
+  // Replaces `part` of the file, which must contain it.
   void replace(const std::string& path, const std::string& part, const std::string& replacement) const {
     std::ifstream file(fs::path(root_) / path);
     std::string text{std::istreambuf_iterator<char>(file), {}};
@@ -63,7 +63,7 @@
     write(path, text.replace(position, part.size(), replacement));
   }
 
-  // What the check says of the project with all of it committed but what `uncommittedPath` names.
+  // Commits everything except `uncommittedPath` and runs the check.
   CommandResult check(const std::string& uncommittedPath = "") const {
     const std::string git = "git -C " + root_ + " ";
     const std::string unstage =
@@ -72,8 +72,9 @@
         git + "add --all && " + unstage + git +
         "-c user.name=test -c user.email=test@localhost commit --quiet --allow-empty --message test");
     EXPECT_EQ(commit.exitCode, 0) << commit.output;
-    // The caller's CPATH would help a build that lacks a header of the project.
-    return runCommand("TMPDIR=" + temporary_ + " CPATH=" + root_ +
+    // The check must ignore the caller's CPATH, with which a build that lacks a header of the project would
+    // succeed.
+    return runCommand("TMPDIR=" + temporaryPath_ + " CPATH=" + root_ +
                       "/src " PADDLETRACK_SOURCE "/.ci/deploy-build " + root_);
   }
 
@@ -84,10 +85,10 @@
     for (const std::string& finding : findings)
       EXPECT_NE(result.output.find("deploy-build: " + finding), std::string::npos) << finding << "\n"
                                                                                    << result.output;
-    EXPECT_TRUE(fs::is_empty(temporary_));
+    EXPECT_TRUE(fs::is_empty(temporaryPath_));
   }
 
-  // The same for each of several deploy files that differ from the sound one in one part.
+  // Runs the check with a deploy file that differs from the valid one in one part.
   void expectDeployFileRejected(const std::string& part, const std::string& replacement,
                                 const std::string& finding) const {
     write("deploy/balancer.toml", kDeployFile);
@@ -95,8 +96,7 @@
     expectRejected({finding});
   }
 
-  // Listens where GW_LISTEN says, as a controller does, until it is ended; a word on the command line crashes
-  // it.
+  // Listens at GW_LISTEN, like a controller, until it is terminated. Aborts if it is given an argument.
   static constexpr const char* kMainSource = R"(#include <CLI/Version.hpp>
 #include <arpa/inet.h>
 #include <sys/socket.h>
@@ -132,14 +132,14 @@
 
   fakes::TemporaryDirectory directory_;
   const std::string root_ = directory_.path() + "/project";
-  const std::string temporary_ = directory_.path() + "/temporary";
+  const std::string temporaryPath_ = directory_.path() + "/temporary";
 };
 
 TEST_F(DeployBuild, PassesAndLeavesNothingWhenAllIsDeclaredAndCommitted) {
   const CommandResult result = check();
   EXPECT_EQ(result.exitCode, 0) << result.output;
   EXPECT_NE(result.output.find("'run' and 'sim' start"), std::string::npos) << result.output;
-  EXPECT_TRUE(fs::is_empty(temporary_));
+  EXPECT_TRUE(fs::is_empty(temporaryPath_));
 }
 
 TEST_F(DeployBuild, NamesHeaderAndPackageWhenPackageIsNoLongerDeclared) {
@@ -166,7 +166,8 @@
       {"/usr/share/cmake/nlohmann_json/nlohmann_jsonConfig.cmake: belongs to nlohmann-json3-dev, which"});
 }
 
-// The runtime library is declared; the link to it that the linker takes belongs to the development package.
+// The runtime library is declared, but the symbolic link that the linker uses belongs to the development
+// package.
 TEST_F(DeployBuild, NamesLibraryWhenItsPackageIsUndeclared) {
   replace("deploy/balancer.toml", "\"libcli11-dev\"", "\"libcli11-dev\", \"libglpk40\"");
   write("CMakeLists.txt",
--- a/tests/program/deploy_command_test.cpp
+++ b/tests/program/deploy_command_test.cpp
@@ -1,8 +1,8 @@
-// The deploy file's `run`, held to what the fleet's bench allows without the bench: started as the line says,
-// under a system-call filter of this test's own that refuses what the bench refuses (other programs, fork,
-// io_uring, splice, sendfile; sockets other than IPv4), the program serves a query end to end, and then
-// /proc shows one process, no child, no Unix listener, the C library linked dynamically, and no thread that
-// spends an idle second without waiting.
+// Checks the `run` command of the deploy file against the restrictions of the benchmark environment, without
+// that environment. The command is started under a system call filter that denies what the environment denies
+// (other programs, fork, io_uring, splice, sendfile; sockets other than IPv4). The program must serve a query
+// end to end, and /proc must show one process without children, no Unix or UDP socket, a dynamically linked C
+// library, and almost no processor time while the program is idle.
 #include <elf.h>
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -40,7 +40,7 @@
   return contents.str();
 }
 
-// The words of `run` after its `exec`; empty if the line is not one `exec` of plain words.
+// Returns the words of `run` after `exec`, or nothing if the line is not a single `exec` of plain words.
 std::vector<std::string> parseRunCommand(const std::string& toml) {
   std::smatch match;
   if (!std::regex_search(toml, match, std::regex(R"re(\nrun = "([^"]*)")re"))) return {};
@@ -55,9 +55,9 @@
   return words;
 }
 
-// Refuses as the bench's page says: starting programs (execve; this launcher uses execveat), fork, vfork and
-// clone without CLONE_THREAD, clone3, io_uring: ENOSYS; splice: EINVAL; sendfile: ENOSYS; socket() of any
-// family but AF_INET: EAFNOSUPPORT. Everything else is let through.
+// Denies the system calls that the benchmark environment denies. ENOSYS: execve (the launcher itself uses
+// execveat), fork, vfork, clone without CLONE_THREAD, clone3, io_uring and sendfile. EINVAL: splice.
+// EAFNOSUPPORT: socket() of any family but AF_INET. All other calls are allowed.
 void installSystemCallFilter() {
   constexpr auto kDeny = [](int error) { return SECCOMP_RET_ERRNO | (error & SECCOMP_RET_DATA); };
   constexpr unsigned kNr = offsetof(seccomp_data, nr), kArch = offsetof(seccomp_data, arch);
@@ -76,26 +76,26 @@
                   SYS_io_uring_register, SYS_sendfile})
     refuse(nr, ENOSYS);
   refuse(SYS_splice, EINVAL);
-  // clone: a thread (CLONE_THREAD) passes, a process does not.
+  // clone: allowed for threads (CLONE_THREAD), denied for processes.
   instructions.push_back(BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SYS_clone, 0, 4));
   instructions.push_back(BPF_STMT(BPF_LD | BPF_W | BPF_ABS, kArg0));
   instructions.push_back(BPF_JUMP(BPF_JMP | BPF_JSET | BPF_K, CLONE_THREAD, 1, 0));
   instructions.push_back(BPF_STMT(BPF_RET | BPF_K, kDeny(ENOSYS)));
   instructions.push_back(BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ALLOW));
-  // socket: AF_INET passes.
+  // socket: only AF_INET is allowed.
   instructions.push_back(BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SYS_socket, 0, 4));
   instructions.push_back(BPF_STMT(BPF_LD | BPF_W | BPF_ABS, kArg0));
   instructions.push_back(BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, AF_INET, 1, 0));
   instructions.push_back(BPF_STMT(BPF_RET | BPF_K, kDeny(EAFNOSUPPORT)));
   instructions.push_back(BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ALLOW));
-  instructions.push_back(BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ALLOW));  // all else
+  instructions.push_back(BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ALLOW));  // all other calls
   sock_fprog program{static_cast<unsigned short>(instructions.size()), instructions.data()};
   if (::prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) != 0 ||
       ::syscall(SYS_seccomp, SECCOMP_SET_MODE_FILTER, 0, &program))
     ::_exit(126);
 }
 
-// Whether the ELF file asks for an interpreter, that is, is linked dynamically.
+// Whether the ELF file has an interpreter, which means that it is dynamically linked.
 bool isDynamicallyLinked(const fs::path& path) {
   std::ifstream file(path, std::ios::binary);
   Elf64_Ehdr elfHeader{};
@@ -109,7 +109,7 @@
   return false;
 }
 
-// Processor time of the process in clock ticks, from /proc/PID/stat (utime + stime).
+// Returns the processor time of the process in clock ticks, from /proc/PID/stat (utime + stime).
 long readCpuTicks(pid_t pid) {
   std::string stat = readFile("/proc/" + std::to_string(pid) + "/stat");
   std::istringstream fields(stat.substr(stat.rfind(')') + 2));
@@ -141,7 +141,7 @@
   argv.push_back(nullptr);
   ::unsetenv("GW_OPERATOR");
   if (filterSystemCalls) {
-    ::setenv("ASAN_OPTIONS", "detect_leaks=0", 1);  // the leak check's own clone is no part of the program
+    ::setenv("ASAN_OPTIONS", "detect_leaks=0", 1);  // the leak check calls clone() itself
     installSystemCallFilter();
   }
   ::syscall(SYS_execveat, AT_FDCWD, argv[0], argv.data(), environ, 0);
@@ -151,11 +151,12 @@
 TEST(DeployCommand, ExecsOneControllerAndServesWhenSystemCallsAreRestricted) {
   const std::vector<std::string> words =
       parseRunCommand(readFile(fs::path(PADDLETRACK_SOURCE) / "deploy/balancer.toml"));
-  ASSERT_GE(words.size(), 2u) << "run is not one exec of plain words";
+  ASSERT_GE(words.size(), 2u) << "run is not a single exec of plain words";
   ASSERT_EQ(words[0], "build/paddletrack");
   ASSERT_TRUE(isDynamicallyLinked(PADDLETRACK_PROGRAM));
 
-  // A root where build/paddletrack is the program under test, with a configuration as the bench gives one.
+  // A root directory where build/paddletrack is the program under test, with a configuration like that of the
+  // benchmark environment.
   const fs::path root = fs::path(::testing::TempDir()) / ("paddletrack_deploy_" + std::to_string(::getpid()));
   fs::create_directories(root / "build");
   fs::create_symlink(PADDLETRACK_PROGRAM, root / "build/paddletrack");
@@ -166,37 +167,38 @@
   std::ofstream(root / "config.json") << config;
   ::setenv("GW_CONFIG", (root / "config.json").c_str(), 1);
 
-  ChildProcess toy, program;
-  toy.pid = spawnProcess({PADDLETRACK_EXAMPLE_SERVER, "127.0.79.2:19443", "127.0.79.2:12379"}, root, false);
-  program.pid = spawnProcess(words, root, true, (root / "said.txt").string());
+  ChildProcess exampleServer, program;
+  exampleServer.pid =
+      spawnProcess({PADDLETRACK_EXAMPLE_SERVER, "127.0.79.2:19443", "127.0.79.2:12379"}, root, false);
+  program.pid = spawnProcess(words, root, true, (root / "output.txt").string());
   ::unsetenv("GW_CONFIG");
 
-  // One query, end to end, through the program under the filter.
-  int asked = -1;
-  for (int index = 0; index < 50 && asked != 0; ++index) {
+  // Sends a query end to end through the filtered program, retrying until the program has started.
+  int queryExitCode = -1;
+  for (int index = 0; index < 50 && queryExitCode != 0; ++index) {
     std::this_thread::sleep_for(100ms);
-    ChildProcess ask;
-    ask.pid = spawnProcess(
+    ChildProcess client;
+    client.pid = spawnProcess(
         {PADDLETRACK_EXAMPLE_CLIENT, "127.0.79.1:18443", "look-up", "acme", "select 1 /* ms=5 */"}, root,
         false);
     int status = 0;
-    ::waitpid(ask.pid, &status, 0);
-    ask.pid = 0;
-    asked = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+    ::waitpid(client.pid, &status, 0);
+    client.pid = 0;
+    queryExitCode = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
-  int ended = 0;
-  ASSERT_EQ(::waitpid(program.pid, &ended, WNOHANG), 0)
-      << "the program ended (" << ended << "): " << readFile(root / "said.txt");
-  ASSERT_EQ(asked, 0) << readFile(root / "said.txt");
+  int exitStatus = 0;
+  ASSERT_EQ(::waitpid(program.pid, &exitStatus, WNOHANG), 0)
+      << "the program exited (" << exitStatus << "): " << readFile(root / "output.txt");
+  ASSERT_EQ(queryExitCode, 0) << readFile(root / "output.txt");
 
   const fs::path proc = "/proc/" + std::to_string(program.pid);
   EXPECT_EQ(fs::read_symlink(proc / "exe"), fs::canonical(PADDLETRACK_PROGRAM))
       << "run did not exec the program";
   EXPECT_NE(readFile(proc / "maps").find("libc.so.6"), std::string::npos);
-  // No child, of any thread.
+  // No thread has a child process.
   for (const auto& task : fs::directory_iterator(proc / "task"))
     EXPECT_EQ(readFile(task.path() / "children"), "") << task.path();
-  // Of its sockets, none is a Unix one that listens.
+  // None of its sockets is a Unix socket.
   std::set<std::string> sockets;
   for (const auto& fd : fs::directory_iterator(proc / "fd")) {
     std::error_code error;
@@ -204,36 +206,36 @@
     if (target.starts_with("socket:[")) sockets.insert(target.substr(8, target.size() - 9));
   }
   EXPECT_FALSE(sockets.empty());
-  std::istringstream unix(readFile(proc / "net/unix"));
+  std::istringstream unixSockets(readFile(proc / "net/unix"));
   std::string line;
-  std::getline(unix, line);
-  while (std::getline(unix, line)) {
+  std::getline(unixSockets, line);
+  while (std::getline(unixSockets, line)) {
     std::istringstream fields(line);
     std::string num, refs, protocol, flags, type, state, inode;
     fields >> num >> refs >> protocol >> flags >> type >> state >> inode;
     EXPECT_FALSE(sockets.contains(inode)) << "a Unix socket: " << line;
   }
-  // Nor is any of them a UDP one.
-  for (const char* kind : {"net/udp", "net/udp6"}) {
-    std::istringstream udp(readFile(proc / kind));
-    std::getline(udp, line);
-    while (std::getline(udp, line)) {
+  // None of them is a UDP socket.
+  for (const char* table : {"net/udp", "net/udp6"}) {
+    std::istringstream udpSockets(readFile(proc / table));
+    std::getline(udpSockets, line);
+    while (std::getline(udpSockets, line)) {
       std::istringstream fields(line);
       std::string field;
-      for (int item = 0; item < 10; ++item) fields >> field;  // the tenth is the inode
+      for (int index = 0; index < 10; ++index) fields >> field;  // the tenth field is the inode
       EXPECT_FALSE(sockets.contains(field)) << "a UDP socket: " << line;
     }
   }
-  // Idle, it waits: a thread that spun would take the whole second.
-  const long before = readCpuTicks(program.pid);
+  // An idle program waits for events; a spinning thread would use the whole second.
+  const long ticksBefore = readCpuTicks(program.pid);
   std::this_thread::sleep_for(1s);
-  EXPECT_LT(readCpuTicks(program.pid) - before, ::sysconf(_SC_CLK_TCK) / 5);
+  EXPECT_LT(readCpuTicks(program.pid) - ticksBefore, ::sysconf(_SC_CLK_TCK) / 5);
 
   ::kill(program.pid, SIGTERM);
   int status = -1;
   ::waitpid(program.pid, &status, 0);
   program.pid = 0;
-  EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status << readFile(root / "said.txt");
+  EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status << readFile(root / "output.txt");
   fs::remove_all(root);
 }
 
--- a/tests/program/error_test.cpp
+++ b/tests/program/error_test.cpp
@@ -1,4 +1,4 @@
-// The table in docs/operating/errors.md has one row for each error kind, with the kind's exit code and hint.
+// Checks that the table in docs/operating/errors.md has one row per error kind, with its exit code and hint.
 #include "base/error.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 namespace paddletrack {
 namespace {
 
-// Returns the rows of the table, each as its cells without the surrounding blanks.
+// Returns the rows of the table as lists of cells without surrounding spaces.
 std::vector<std::vector<std::string>> readErrorTable() {
   std::ifstream file(PADDLETRACK_SOURCE "/docs/operating/errors.md");
   std::vector<std::vector<std::string>> rows;
@@ -34,11 +34,11 @@
   for (std::size_t index = 0; index < kErrorDescriptions.size(); ++index) {
     const ErrorDescription& kind = kErrorDescriptions[index];
     EXPECT_EQ(static_cast<std::size_t>(kind.kind), index) << kind.name;
-    EXPECT_TRUE(names.insert(kind.name).second) << kind.name << " stands twice";
+    EXPECT_TRUE(names.insert(kind.name).second) << kind.name << " is listed twice";
     ASSERT_EQ(rows[index].size(), 5U) << kind.name;
     EXPECT_EQ(rows[index][0], "`" + std::string(kind.name) + "`");
-    EXPECT_GT(rows[index][1].size(), 8U) << kind.name << " says nothing of what happened";
-    EXPECT_GT(rows[index][2].size(), 5U) << kind.name << " says nothing of what the program does";
+    EXPECT_GT(rows[index][1].size(), 8U) << kind.name << " does not describe the error";
+    EXPECT_GT(rows[index][2].size(), 5U) << kind.name << " does not describe the program's reaction";
     EXPECT_EQ(rows[index][3], std::to_string(kind.exitCode)) << kind.name;
     EXPECT_EQ(rows[index][4], kind.hint) << kind.name;
   }
@@ -47,15 +47,14 @@
 TEST(Logger, WritesKindLocationAndHintFieldsWhenErrorIsLogged) {
   LogRecord record;
   const Logger logger([&](const LogRecord& loggedRecord) { record = loggedRecord; });
-  logger.warning("dial", Error(ErrorKind::connectFailed, "executor s-1", "no connection"),
-                 {{"engine", "s-1"}});
-  EXPECT_EQ(record.message, "executor s-1: no connection");
+  logger.warning("dial", Error(ErrorKind::connectFailed, "engine s-1", "no connection"), {{"engine", "s-1"}});
+  EXPECT_EQ(record.message, "engine s-1: no connection");
   EXPECT_EQ(record.level, LogLevel::warning);
   std::vector<std::pair<std::string, std::string>> fields;
   for (const auto& [name, value] : record.fields) fields.emplace_back(name, value);
   const std::vector<std::pair<std::string, std::string>> expectedFields{
       {"error", "connect_failed"},
-      {"where", "executor s-1"},
+      {"where", "engine s-1"},
       {"hint", descriptionOf(ErrorKind::connectFailed).hint},
       {"engine", "s-1"}};
   EXPECT_EQ(fields, expectedFields);
@@ -66,9 +65,9 @@
   EXPECT_STREQ(tooManyFiles.what(), "127.0.0.1:1: socket: Too many open files");
   EXPECT_NE(tooManyFiles.hint(), SystemCallError("", "socket", ECONNREFUSED).hint());
   EXPECT_EQ(toError(tooManyFiles, "elsewhere").context(), "127.0.0.1:1");
-  const Error unexpectedError = toError(std::runtime_error("odd"), "there");
+  const Error unexpectedError = toError(std::runtime_error("failure"), "location");
   EXPECT_STREQ(unexpectedError.kindName(), "unexpected");
-  EXPECT_STREQ(unexpectedError.what(), "there: odd");
+  EXPECT_STREQ(unexpectedError.what(), "location: failure");
 }
 
 }  // namespace
--- a/tests/program/known_red_test.cpp
+++ b/tests/program/known_red_test.cpp
@@ -1,4 +1,4 @@
-// What CI may pass over (.ci/known-red).
+// Tests .ci/known-red, which runs the listed tests that CI tolerates as failing.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -12,7 +12,7 @@
 namespace paddletrack {
 namespace {
 
-// Red where a test below asks for it.
+// Fails when the test below requests it.
 TEST(KnownRed, PassesUnlessPlantedFailureIsRequested) {
   EXPECT_EQ(std::getenv("PADDLETRACK_PLANTED_RED"), nullptr);
 }
@@ -21,14 +21,14 @@
   int exitCode = -1;
   std::string output;
 
-  // With this very program, or none.
-  explicit KnownRedRun(const std::string& listText, bool passesTests = true,
+  // Runs the script on a list with this test program, or without a program if `passesProgram` is false.
+  explicit KnownRedRun(const std::string& listText, bool passesProgram = true,
                        const std::string& environment = "") {
     const std::string listPath = ::testing::TempDir() + "paddletrack_red_" + std::to_string(::getpid());
     std::ofstream(listPath) << listText;
     const std::string testProgram = std::filesystem::read_symlink("/proc/self/exe").string();
     const std::string command = environment + PADDLETRACK_SOURCE "/.ci/known-red " + listPath +
-                                (passesTests ? " " + testProgram : std::string()) + " 2>&1";
+                                (passesProgram ? " " + testProgram : std::string()) + " 2>&1";
     FILE* pipe = ::popen(command.c_str(), "r");
     char buffer[4096];
     while (std::fgets(buffer, sizeof buffer, pipe)) output += buffer;
@@ -50,9 +50,9 @@
       << passingRun.output;
   EXPECT_TRUE(failingRun.exitCode == 0 && failingRun.outputContains("still red: " + entry))
       << failingRun.output;
-  // One that names no test, or several, or does not tell why, and a fourth.
-  const KnownRedRun unknownTest("KnownRed.Ghost, a cause, issue 40");
-  EXPECT_TRUE(unknownTest.exitCode == 1 && unknownTest.outputContains("'KnownRed.Ghost' is no test"))
+  // Invalid entries: an unknown test, several tests, a missing cause or issue, and a fourth entry.
+  const KnownRedRun unknownTest("KnownRed.Unknown, a cause, issue 40");
+  EXPECT_TRUE(unknownTest.exitCode == 1 && unknownTest.outputContains("'KnownRed.Unknown' is no test"))
       << unknownTest.output;
   for (const char* invalidEntry :
        {"KnownRed.*, a cause, issue 40", "KnownRed.PassesUnlessPlantedFailureIsRequested",
--- a/tests/program/node_config_test.cpp
+++ b/tests/program/node_config_test.cpp
@@ -1,4 +1,5 @@
-// Another customer's settings: what is told decides, nothing is known beforehand, shared, or read wrongly.
+// Node configurations of different sites: all site-specific names come from the configuration, invalid values
+// are rejected, and controllers of different sites are isolated from each other.
 #include "program/node_config.hpp"
 
 #include <gtest/gtest.h>
@@ -24,7 +25,7 @@
 
 const std::string kSourceDirectory = PADDLETRACK_SOURCE;
 
-// Loopback nets of this process's own: tests that run beside each other do not meet.
+// Returns a loopback network that depends on the process ID, so that concurrent tests do not collide.
 std::string ownNetwork(unsigned index) {
   const auto pid = static_cast<unsigned>(::getpid());
   return "127." + std::to_string(100 + pid / 100 % 100) + "." + std::to_string(pid % 100 * 2 + index);
@@ -35,13 +36,13 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// ---- the two customers of deploy/sites -----------------------------------------------------------------
+// ---- the two sites of deploy/sites ---------------------------------------------------------------------
 
 struct SiteFile {
-  std::vector<std::string> names, requestClasses, tenants, zones,
-      machineTypes;  // names: all of them, and the site's
+  // `names` holds the names of the site and its tiers and those of the other lists.
+  std::vector<std::string> names, requestClasses, tenants, zones, machineTypes;
 
-  // As much of a site file as names things: `name` in these tables, and `zones`.
+  // Reads only the names in a site file: `name` in the tables below, and `zones`.
   explicit SiteFile(const std::filesystem::path& file) {
     names = {file.parent_path().filename(), file.stem()};
     std::ifstream stream(file);
@@ -64,20 +65,20 @@
       if (line.starts_with("name = ") && (table.empty() || table == "[[tier]]")) target = &names;
       target->insert(target->end(), quoted.begin(), quoted.end());
     }
-    for (const auto* machineType : {&requestClasses, &tenants, &zones, &machineTypes})
-      names.insert(names.end(), machineType->begin(), machineType->end());
+    for (const auto* nameList : {&requestClasses, &tenants, &zones, &machineTypes})
+      names.insert(names.end(), nameList->begin(), nameList->end());
   }
 };
 
 std::vector<SiteFile> loadSiteFiles() {
   std::vector<std::filesystem::path> files;
-  for (const auto& item : std::filesystem::recursive_directory_iterator(kSourceDirectory + "/deploy/sites"))
-    if (item.path().extension() == ".toml") files.push_back(item.path());
+  for (const auto& entry : std::filesystem::recursive_directory_iterator(kSourceDirectory + "/deploy/sites"))
+    if (entry.path().extension() == ".toml") files.push_back(entry.path());
   std::sort(files.begin(), files.end());
   return {files.begin(), files.end()};
 }
 
-// Small letters and figures alone: a name is found in whatever case and with whatever between its words.
+// Keeps only letters, in lower case, and digits, so that names match in any case and with any separators.
 std::string normalizeName(const std::string& text) {
   std::string normalized;
   for (const char character : text)
@@ -98,8 +99,8 @@
   const std::vector<SiteFile> sites = loadSiteFiles();
   ASSERT_EQ(sites.size(), 2U);
   std::vector<std::filesystem::path> files{kSourceDirectory + "/deploy/balancer.toml"};
-  for (const auto& item : std::filesystem::recursive_directory_iterator(kSourceDirectory + "/src"))
-    if (item.is_regular_file()) files.push_back(item.path());
+  for (const auto& entry : std::filesystem::recursive_directory_iterator(kSourceDirectory + "/src"))
+    if (entry.is_regular_file()) files.push_back(entry.path());
   ASSERT_GT(files.size(), 100U);
   for (const SiteFile& site : sites) {
     ASSERT_GE(site.requestClasses.size(), 3U);
@@ -124,7 +125,7 @@
 
 // ---- configurations ------------------------------------------------------------------------------------
 
-// What a controller needs and nothing more.
+// A configuration with the required keys only.
 json minimalConfig() {
   return json::parse(
       R"({"name":"n","listen":"127.0.214.200:18443","seed":"7","changelog":"127.0.214.250:18443",
@@ -163,7 +164,7 @@
   }
 };
 
-// What is said of it, or nothing if it is taken.
+// Returns the error message of the configuration, or an empty string if it is accepted.
 std::string configError(const json& config) {
   const ConfigDirectory directory;
   try {
@@ -183,7 +184,7 @@
   };
   const json profile = minimalConfig()["settings"]["profiles"][0];
   const std::vector<Case> cases{
-      // zero, below zero, past all bounds, no number, parts of what comes whole
+      // zero, negative, out of range, not a number, fractions of integers
       {"/settings/balancers", 0, "balancers", "'0'"},
       {"/settings/balancers", 2.5, "balancers", "'2.5'"},
       {"/settings/zone", 1, "zone", "'1'"},
@@ -231,7 +232,7 @@
       {"/settings/reporting/source", "post", "reporting.source", "'post'"},
       {"/settings/tenants", json::array({{{"name", "t"}, {"quotaPerS", -5}}}), "tenants.0.quotaPerS", "'-5'"},
       {"/settings/tenants", {{"count", 3000000000U}}, "tenants.count", "'3000000000'"},
-      // empty lists, names that are missing or stand twice
+      // empty lists, missing and duplicate names
       {"/settings/profiles", json::array(), "profiles", ""},
       {"/settings/zones", json::array(), "zones", ""},
       {"/settings/machineTypes", json::array(), "machineTypes", ""},
@@ -241,8 +242,8 @@
       {"/settings/tenants", json::array({{{"quotaPerS", 5}}}), "tenants.0.name", "''"},
       {"/settings/zones", json::array({"z", "z"}), "zones", "'z'"},
       {"/settings/machineTypes", json::array({"m", "m"}), "machineTypes", "'m'"},
-      {"/settings/limits.maxOpen", 7, "limits.maxOpen", ""},  // beside "limits": {"maxOpen": ...}
-      // outside of the settings
+      {"/settings/limits.maxOpen", 7, "limits.maxOpen", ""},  // in addition to "limits": {"maxOpen": ...}
+      // keys outside of the settings
       {"/limits/memory_mb", 17592186044416U, "limits.memory_mb", "'17592186044416'"},  // in bytes: 2^64
       {"/limits/memory_mb", 15, "limits.memory_mb", "'15'"},
       {"/limits/memory_mb", 64.5, "limits.memory_mb", "'64.5'"},
@@ -253,27 +254,27 @@
       {"/listen", "here:1", "listen", "'here:1'"},
       {"/changelog", "127.0.0.1:70000", "changelog", "'127.0.0.1:70000'"},
   };
-  for (const Case& failoverCase : cases) {
+  for (const Case& testCase : cases) {
     json invalidConfig = minimalConfig();
-    if (std::string(failoverCase.pointer) == "/settings/limits.maxOpen")
+    if (std::string(testCase.pointer) == "/settings/limits.maxOpen")
       invalidConfig["settings"]["limits"]["maxOpen"] = 9;
-    invalidConfig[json::json_pointer(failoverCase.pointer)] = failoverCase.value;
+    invalidConfig[json::json_pointer(testCase.pointer)] = testCase.value;
     const std::string error = configError(invalidConfig);
-    EXPECT_NE(error.find(std::string(failoverCase.key)), error.npos)
-        << failoverCase.pointer << " " << failoverCase.value << ": " << error;
-    EXPECT_NE(error.find(failoverCase.shown), error.npos)
-        << failoverCase.pointer << " " << failoverCase.value << ": " << error;
+    EXPECT_NE(error.find(std::string(testCase.key)), error.npos)
+        << testCase.pointer << " " << testCase.value << ": " << error;
+    EXPECT_NE(error.find(testCase.shown), error.npos)
+        << testCase.pointer << " " << testCase.value << ": " << error;
   }
-  for (const char* needed :
+  for (const char* requiredKey :
        {"/settings/balancers", "/settings/zones", "/settings/machineTypes", "/settings/profiles/0/onTimeUs",
         "/settings/profiles/0/giveUpUs", "/settings/limits/dialTimeoutUs", "/settings/limits/idleCloseUs",
         "/limits/sockets", "/limits/memory_mb", "/name", "/listen", "/changelog", "/seed", "/settings"}) {
     json invalidConfig = minimalConfig();
-    const json::json_pointer at(needed);
-    invalidConfig[at.parent_pointer()].erase(at.back());
+    const json::json_pointer pointer(requiredKey);
+    invalidConfig[pointer.parent_pointer()].erase(pointer.back());
     const std::string error = configError(invalidConfig);
-    EXPECT_NE(error.find(at.back()), error.npos) << needed << ": " << error;
-    EXPECT_NE(error.find("missing"), error.npos) << needed << ": " << error;
+    EXPECT_NE(error.find(pointer.back()), error.npos) << requiredKey << ": " << error;
+    EXPECT_NE(error.find("missing"), error.npos) << requiredKey << ": " << error;
   }
 }
 
@@ -282,7 +283,8 @@
   json config = minimalConfig();
   json& settings = config["settings"];
   settings["balancers"] = 300;
-  settings["zones"] = {"north, upper", "north_ upper", "7"};  // a comma within, one as the other would be
+  settings["zones"] = {"north, upper", "north_ upper",
+                       "7"};  // names with commas, and one that equals another with its comma replaced
   settings["zone"] = 2;
   settings["machineTypes"] = {"std,8", "std,16"};
   settings["familyInfo"]["kindCores"] = {8, 16};
@@ -315,12 +317,12 @@
   EXPECT_EQ(deployment.requestClasses[199].allowedMachineTypes, std::vector<unsigned>{1});
   EXPECT_EQ(deployment.tenants[199].quotaPerSecond, 199);
   EXPECT_EQ(deployment.machineTypes[1].cores, 16);
-  EXPECT_EQ(deployment.maxAttempts, 255);  // a job's dispatches are numbered in eight bits
+  EXPECT_EQ(deployment.maxAttempts, 255);  // attempts of a request are numbered in eight bits
 }
 
 // ---- processes -----------------------------------------------------------------------------------------
 
-// One customer's place: a change log, an executor, and a controller that is told of both.
+// One site: an endpoint list, an engine, and a controller that is configured with both.
 struct SiteInstance {
   SiteInstance(fakes::TestScheduler& loop, const json& siteConfig, const std::string& network)
       : endpointList(loop, loop.outputBudget, transport::Address(network + ".250:18443")),
@@ -344,8 +346,8 @@
   std::optional<fakes::ServerProcess> process;
 };
 
-// Two customers' controllers run at once on one machine. Each serves its own classes for its own customers,
-// and knows nothing of the other's.
+// Controllers of two sites run on the same machine. Each serves its own request classes for its own tenants
+// and rejects the request classes of the other site.
 TEST(SiteIsolation, ServesOnlyOwnRequestClassesWhenTwoSitesShareMachine) {
   const std::vector<SiteFile> sites = loadSiteFiles();
   fakes::TestScheduler loop;
@@ -357,49 +359,50 @@
       {transport::Address(networks[0] + ".200:18443"), transport::Address(networks[1] + ".200:18443")}, 7);
   loadClients.setHeartbeatInterval(20ms);
   ASSERT_TRUE(loop.runUntil([&] { return loadClients.isInService(0) && loadClients.isInService(1); }));
-  std::vector<LoadGenerator::RequestProfile> requestKinds;
-  std::vector<std::size_t> siteIndexOfKind;
+  std::vector<LoadGenerator::RequestProfile> requestProfiles;
+  std::vector<std::size_t> siteIndexOfProfile;
   for (std::size_t siteIndex = 0; siteIndex < 2; ++siteIndex)
     for (const std::string& requestClass : sites[siteIndex].requestClasses) {
-      requestKinds.push_back({requestClass, sites[siteIndex].tenants.back(), 1, 1ms, 1ms});
-      siteIndexOfKind.push_back(siteIndex);
+      requestProfiles.push_back({requestClass, sites[siteIndex].tenants.back(), 1, 1ms, 1ms});
+      siteIndexOfProfile.push_back(siteIndex);
     }
-  const std::size_t ownClassCount = requestKinds.size();
-  requestKinds.push_back(
-      {sites[0].requestClasses[0], sites[1].tenants[0], 1, 1ms, 1ms});  // a class of its own for a stranger
-  loadClients.start(0, requestKinds);
-  for (std::size_t kind = 0; kind < requestKinds.size(); ++kind)
-    for (const std::size_t controller : {0U, 1U}) loadClients.send(kind, controller);
+  const std::size_t ownClassCount = requestProfiles.size();
+  requestProfiles.push_back(
+      {sites[0].requestClasses[0], sites[1].tenants[0], 1, 1ms, 1ms});  // own request class, unknown tenant
+  loadClients.start(0, requestProfiles);
+  for (std::size_t profile = 0; profile < requestProfiles.size(); ++profile)
+    for (const std::size_t controller : {0U, 1U}) loadClients.send(profile, controller);
   ASSERT_TRUE(loop.runUntil([&] { return loadClients.counters().open == 0; }));
   for (const LoadGenerator::Request& request : loadClients.requests()) {
-    const bool served =
-        request.profile < ownClassCount && siteIndexOfKind[request.profile] == request.controller;
+    const bool isServed =
+        request.profile < ownClassCount && siteIndexOfProfile[request.profile] == request.controller;
     EXPECT_EQ(request.answerCount, 1U);
-    EXPECT_EQ(request.outcome, served ? fakes::Reply::Outcome::completed : fakes::Reply::Outcome::exception)
-        << requestKinds[request.profile].requestClass << " at " << request.controller;
+    EXPECT_EQ(request.outcome, isServed ? fakes::Reply::Outcome::completed : fakes::Reply::Outcome::exception)
+        << requestProfiles[request.profile].requestClass << " at " << request.controller;
   }
   EXPECT_EQ(first.engine.runCount(), sites[0].requestClasses.size());
   EXPECT_EQ(second.engine.runCount(), sites[1].requestClasses.size());
 }
 
-// At SIGHUP a file of another customer, or one with a bad value, is named, and all stays as it was: the list
-// of another's executors most of all.
+// On SIGHUP, a file of another site or with an invalid value is reported and the current configuration stays
+// in effect. In particular, the controller must not connect to the endpoint list of another site.
 TEST(SiteIsolation, RejectsReloadWhenConfigIsInvalidOrOfAnotherSite) {
   const std::vector<SiteFile> sites = loadSiteFiles();
   fakes::TestScheduler loop;
   const std::vector<std::string> networks{ownNetwork(0), ownNetwork(1)};
   const json ownConfig = makeSiteConfig(sites[0], networks[0]);
-  SiteInstance place(loop, ownConfig, networks[0]);
+  SiteInstance instance(loop, ownConfig, networks[0]);
   FakeEndpointList otherList(loop, loop.outputBudget, transport::Address(networks[1] + ".250:18443"));
-  ASSERT_TRUE(loop.runUntil([&] { return place.endpointList.queryTimes.size() == 1; }));
+  ASSERT_TRUE(loop.runUntil([&] { return instance.endpointList.queryTimes.size() == 1; }));
   otherList.publish(
       {{"s-9", networks[1] + ".1:18443", "active", sites[0].zones[0], sites[0].machineTypes[0]}}, true);
-  const auto reload = [&](json config, const std::string& words = "") {
+  const auto reload = [&](json config, const std::string& expectedError = "") {
     config["changelog"] = networks[1] + ".250:18443";
-    place.directory.writeConfig(config);
-    place.process->sendSignal(SIGHUP);
-    EXPECT_TRUE(loop.runUntil([&] { return place.logContains(words); })) << words << "\n"
-                                                                         << readFile(place.logPath());
+    instance.directory.writeConfig(config);
+    instance.process->sendSignal(SIGHUP);
+    EXPECT_TRUE(loop.runUntil([&] { return instance.logContains(expectedError); }))
+        << expectedError << "\n"
+        << readFile(instance.logPath());
   };
   json renamedConfig = ownConfig, otherZones = ownConfig, otherMachineTypes = ownConfig,
        invalidConfig = ownConfig;
@@ -413,7 +416,7 @@
   reload(otherMachineTypes, "settings: machineTypes");
   reload(invalidConfig, "settings: limits.mostTries: 'nan'");
   EXPECT_TRUE(otherList.acceptTimes.empty());
-  reload(ownConfig);  // the same file, but for the log's address
+  reload(ownConfig);  // the current file except for the address of the endpoint list
   EXPECT_TRUE(loop.runUntil([&] { return !otherList.queryTimes.empty(); }));
 }
 
@@ -432,8 +435,8 @@
   }
 }
 
-// Only what is needed is told, and limits that are in order each but let no request in when one is divided
-// by the other: much of descriptors, little of memory.
+// Only the required keys are set. With many descriptors and little memory, each limit is valid, but memory
+// divided evenly among that many connections would be too little to accept any request.
 TEST(NodeConfig, ServesRequestWhenOnlyRequiredKeysAreSet) {
   fakes::TestScheduler loop;
   for (const unsigned sockets : {32U, 1U << 20}) {
@@ -441,19 +444,19 @@
     config["limits"] = {{"memory_mb", 16}, {"sockets", sockets}};
     config["listen"] = ownNetwork(0) + ".200:18443";
     config["changelog"] = ownNetwork(0) + ".250:18443";
-    SiteInstance place(loop, config, ownNetwork(0));
+    SiteInstance instance(loop, config, ownNetwork(0));
     LoadGenerator loadClients(loop, loop.outputBudget, {transport::Address(ownNetwork(0) + ".200:18443")}, 7);
     loadClients.setHeartbeatInterval(20ms);
     ASSERT_TRUE(loop.runUntil([&] { return loadClients.isInService(0); }))
-        << sockets << readFile(place.logPath());
+        << sockets << readFile(instance.logPath());
     loadClients.start(0, {{"q", "", 1, 1ms, 1ms, 2s, std::string(4000, 'x')}});
     loadClients.send(0, 0);
     ASSERT_TRUE(loop.runUntil([&] { return loadClients.counters().open == 0; }));
     EXPECT_EQ(loadClients.requests().front().outcome, fakes::Reply::Outcome::completed)
-        << sockets << readFile(place.logPath());
-    place.process->sendSignal(SIGTERM);
-    ASSERT_TRUE(loop.runUntil([&] { return place.process->exitCode().has_value(); }));
-    EXPECT_EQ(place.process->exitCode(), 0);
+        << sockets << readFile(instance.logPath());
+    instance.process->sendSignal(SIGTERM);
+    ASSERT_TRUE(loop.runUntil([&] { return instance.process->exitCode().has_value(); }));
+    EXPECT_EQ(instance.process->exitCode(), 0);
   }
 }
 
--- a/tests/program/oncall_page_test.cpp
+++ b/tests/program/oncall_page_test.cpp
@@ -1,4 +1,4 @@
-// The log lines that the on-call page quotes are lines of the code.
+// Checks that the log lines quoted by the on-call page exist in the source code.
 #include <gtest/gtest.h>
 
 #include <cerrno>
@@ -18,7 +18,7 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-/// All string literals of src/, a line each, and the system's texts that log lines may carry.
+/// Returns all string literals of src/, one per line, and the system error texts that log lines may contain.
 std::string collectLogTexts() {
   static const std::regex kLiteral(R"re("((?:\\.|[^"\\\n])*)")re");
   std::string texts = std::string(std::strerror(ECONNREFUSED)) + "\n";
@@ -32,7 +32,7 @@
   return texts;
 }
 
-/// What stands between backticks in the first column of the table of log lines.
+/// Returns the texts in backticks in the first column of the table of log lines.
 std::vector<std::string> collectQuotedLines() {
   const std::string page = readFile(std::string(PADDLETRACK_SOURCE) + "/docs/oncall.md");
   std::istringstream lines(page.substr(page.find("## The real controller's log")));
@@ -54,11 +54,11 @@
   const std::string texts = collectLogTexts();
   const std::vector<std::string> quotedLines = collectQuotedLines();
   EXPECT_GE(quotedLines.size(), 25U);
-  // A line is put together of its topic, fixed texts and figures; the page writes "..." for the latter.
+  // A log line consists of a topic, fixed texts and figures; the page writes "..." for figures.
   static const std::regex kSeparator(R"(\s*(?:\.\.\.|: |->|:$)\s*)");
   for (const std::string& quotedLine : quotedLines)
     for (std::sregex_token_iterator part(quotedLine.begin(), quotedLine.end(), kSeparator, -1), end;
          part != end; ++part)
       EXPECT_NE(texts.find(part->str()), std::string::npos)
-          << "'" << part->str() << "' of '" << quotedLine << "' is no text of src/";
+          << "'" << part->str() << "' of '" << quotedLine << "' is not a string literal of src/";
 }
--- a/tests/program/server_process_test.cpp
+++ b/tests/program/server_process_test.cpp
@@ -1,4 +1,4 @@
-// The program itself, started as the operators start it.
+// Tests the paddletrack program as a process with its command line and signals.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sys/prctl.h>
@@ -45,7 +45,7 @@
         R"("profiles":[{"name":"q","idempotency":"retryable","onTimeUs":400000,"giveUpUs":1000000}],)"
         R"("limits":{"dialTimeoutUs":20000,"idleCloseUs":400000},"tickUs":5000}})");
   }
-  // A change log that accepts and keeps what it is asked.
+  // An endpoint list that accepts connections and records the requests without answering them.
   transport::Task<> serveEndpointList(const char* address, std::string& received) {
     transport::Listener listener(*this, Address(address));
     for (;;) {
@@ -76,7 +76,7 @@
   pid_t pid = 0;
 };
 
-// Without a handler the first SIGHUP ended the program.
+// Guards against a missing SIGHUP handler, with which the first SIGHUP terminated the program.
 TEST(ServerProcess, FollowsNewEndpointListOnSighupOnlyWhenConfigIsValid) {
   ServerProcess program;
   std::string firstRequests, secondRequests;
@@ -98,7 +98,7 @@
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
 }
 
-// A client of the program, which keeps what it is answered.
+// A client of the program that records the bytes it receives.
 struct TestClient {
   explicit TestClient(ServerProcess& serverProcess) : server(serverProcess) {
     server.tasks.spawn(readResponses());
@@ -143,14 +143,15 @@
   std::string received;
 };
 
-// Told to end and then held off its core, it once ended at its first look at the time, before it had read
-// what had come meanwhile: the request was taken and never answered.
+// Guards against losing a request that arrives while the stopping process is not scheduled: the process once
+// exited at its first check of the time, before it had read its sockets, so that the request was never
+// answered.
 TEST(ServerProcess, AnswersRequestReceivedWhenStoppedDuringShutdown) {
   FollowingServer program;
   ::kill(program.pid, SIGTERM);
   program.runFor(100ms);
   ::kill(program.pid, SIGSTOP);
-  TestClient client(program);  // the kernel takes it
+  TestClient client(program);  // the kernel accepts the connection
   client.sendBytes(submitFrame());
   program.runFor(900ms);
   ::kill(program.pid, SIGCONT);
@@ -159,7 +160,8 @@
   EXPECT_TRUE(client.hasAnswer()) << client.received;
 }
 
-// One thread serves and logs: a line that waited for room in a full pipe once stopped all of it for good.
+// The same thread serves and logs: a log line that blocked on a full pipe once stopped the program
+// permanently.
 TEST(ServerProcess, KeepsServingWhenLogPipeIsFull) {
   int pipeEnds[2];
   ASSERT_EQ(::pipe2(pipeEnds, O_CLOEXEC), 0);
@@ -172,17 +174,17 @@
   TestClient client(program);
   client.sendBytes(submitFrame());
   EXPECT_TRUE(program.waitUntil([&] { return client.hasAnswer(); }));
-  std::string read(1 << 20, 0);
-  ASSERT_GT(::read(pipeEnds[0], read.data(), read.size()), 0);  // its reader comes back
+  std::string logText(1 << 20, 0);
+  ASSERT_GT(::read(pipeEnds[0], logText.data(), logText.size()), 0);  // the reader resumes
   ::kill(program.pid, SIGTERM);
   EXPECT_EQ(program.waitForExit(), 0);
   ::close(pipeEnds[1]);
-  read.resize(static_cast<std::size_t>(::read(pipeEnds[0], read.data(), read.size())));
-  EXPECT_NE(read.find("leaving: "), read.npos) << read;
+  logText.resize(static_cast<std::size_t>(::read(pipeEnds[0], logText.data(), logText.size())));
+  EXPECT_NE(logText.find("leaving: "), logText.npos) << logText;
   ::close(pipeEnds[0]);
 }
 
-// A message that is on its way when the process would end is waited for, for a while.
+// A process that is about to exit waits for a limited time for the rest of a partially received message.
 TEST(ServerProcess, AnswersRequestWhenItsFrameCompletesDuringShutdown) {
   FollowingServer program;
   ::kill(program.pid, SIGTERM);
@@ -202,16 +204,16 @@
 namespace paddletrack {
 namespace {
 
-// The children of a process's main thread, from /proc/PID/task/PID/children, as deploy_test reads them.
+// Returns the children of a process's main thread, from /proc/PID/task/PID/children.
 std::vector<pid_t> findChildren(pid_t parent) {
   const std::string pidText = std::to_string(parent);
   std::ifstream childrenFile("/proc/" + pidText + "/task/" + pidText + "/children");
   std::vector<pid_t> children;
-  for (pid_t item = 0; childrenFile >> item;) children.push_back(item);
+  for (pid_t child = 0; childrenFile >> child;) children.push_back(child);
   return children;
 }
 
-// Whether a process blocks SIGTERM, as `serve` does once it reads its signals from a signalfd.
+// Whether a process blocks SIGTERM, as `serve` does when it receives signals by a signalfd.
 bool blocksSigterm(pid_t pid) {
   std::ifstream statusFile("/proc/" + std::to_string(pid) + "/status");
   for (std::string line; std::getline(statusFile, line);)
@@ -219,13 +221,13 @@
   return false;
 }
 
-// A rig killed with SIGKILL (no Ctrl-C, no destructors) takes its controller along: the controller is told by
-// the kernel that its parent died and ends as on SIGTERM. This test is the subreaper, so the orphan comes
-// here.
+// A load test killed with SIGKILL (no Ctrl-C, no destructors) must not leave its controller running: the
+// kernel signals the parent's death to the controller, which exits as on SIGTERM. This test is the subreaper,
+// so that it becomes the parent of the orphan.
 TEST(Loadtest, LeavesNoControllerRunningWhenKilled) {
   ASSERT_EQ(::prctl(PR_SET_CHILD_SUBREAPER, 1), 0);
-  const pid_t rig = ::fork();
-  if (rig == 0) {
+  const pid_t loadTest = ::fork();
+  if (loadTest == 0) {
     const int devNull = ::open("/dev/null", O_WRONLY);
     ::dup2(devNull, STDOUT_FILENO), ::dup2(devNull, STDERR_FILENO);
     ::execl(PADDLETRACK_LOADTEST, "paddletrack_loadtest", "soak", "--minutes", "0.5", "--rate", "20",
@@ -235,26 +237,28 @@
   std::vector<pid_t> controllers;
   for (int attempt = 0; attempt < 100 && controllers.empty(); ++attempt) {
     std::this_thread::sleep_for(50ms);
-    controllers = findChildren(rig);
+    controllers = findChildren(loadTest);
   }
-  ASSERT_EQ(controllers.size(), 1U) << "the rig started no controller";
+  ASSERT_EQ(controllers.size(), 1U) << "the load test started no controller";
   const pid_t controller = controllers.front();
-  // Killed before it holds SIGTERM for itself (signalfd), it would end by the signal: wait for that mask.
+  // A controller that does not block SIGTERM yet (signalfd) would be terminated by it: wait for the signal
+  // mask.
   for (int attempt = 0; attempt < 200 && !blocksSigterm(controller); ++attempt)
     std::this_thread::sleep_for(25ms);
   ASSERT_TRUE(blocksSigterm(controller)) << "the controller did not start within 5 s";
-  ::kill(rig, SIGKILL);
-  ::waitpid(rig, nullptr, 0);
+  ::kill(loadTest, SIGKILL);
+  ::waitpid(loadTest, nullptr, 0);
   int status = 0;
-  pid_t ended = 0;
-  for (int attempt = 0; attempt < 100 && ended == 0; ++attempt) {
+  pid_t exitedPid = 0;
+  for (int attempt = 0; attempt < 100 && exitedPid == 0; ++attempt) {
     std::this_thread::sleep_for(50ms);
-    ended = ::waitpid(controller, &status, WNOHANG);
+    exitedPid = ::waitpid(controller, &status, WNOHANG);
   }
-  if (ended == 0) ::kill(controller, SIGKILL), ::waitpid(controller, nullptr, 0);
+  if (exitedPid == 0) ::kill(controller, SIGKILL), ::waitpid(controller, nullptr, 0);
   ::prctl(PR_SET_CHILD_SUBREAPER, 0);
-  ASSERT_EQ(ended, controller) << "the controller outlived its rig by 5 s";
-  EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << "it ended as on SIGTERM, with 0";
+  ASSERT_EQ(exitedPid, controller) << "the controller outlived the load test by 5 s";
+  EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0)
+      << "the controller must exit with 0, as on SIGTERM";
 }
 
 }  // namespace
