--- a/src/failpoint/failpoint.hpp
+++ b/src/failpoint/failpoint.hpp
@@ -41,25 +41,25 @@
 
 #define PADDLETRACK_CALL(fd, name, kinds, call) \
   (::paddletrack::failpoint::shouldFail(fd, name, kinds) ? -1 : (call))
-#define PADDLETRACK_PASS(fd, name) static_cast<void>(::paddletrack::failpoint::shouldFail(fd, name, ""))
-#define PADDLETRACK_VALUE(fd, name, kinds, to) ::paddletrack::failpoint::injectErrorValue(fd, name, kinds, to)
-#define PADDLETRACK_SIZE(wanted) ::paddletrack::failpoint::limitSize(wanted)
-#define PADDLETRACK_CUT(message, call) (::paddletrack::failpoint::truncateMessage(message), (call))
+#define PADDLETRACK_HIT(fd, name) static_cast<void>(::paddletrack::failpoint::shouldFail(fd, name, ""))
+#define PADDLETRACK_ERRNO(fd, name, kinds, to) ::paddletrack::failpoint::injectErrorValue(fd, name, kinds, to)
+#define PADDLETRACK_IO_SIZE(wanted) ::paddletrack::failpoint::limitSize(wanted)
+#define PADDLETRACK_TRUNCATED(message, call) (::paddletrack::failpoint::truncateMessage(message), (call))
 #define PADDLETRACK_TABLE(name) ::paddletrack::failpoint::checkAllocation(name)
 #define PADDLETRACK_TIMER(name, moment)                                                            \
   ((moment) + (::paddletrack::failpoint::shouldDelayTimer(name) ? ::paddletrack::failpoint::kDelay \
                                                                 : std::chrono::milliseconds(0)))
-#define PADDLETRACK_MARK(what) ::paddletrack::failpoint::what
+#define PADDLETRACK_IF_FAIL_POINTS(what) ::paddletrack::failpoint::what
 
 #else
 
 #define PADDLETRACK_CALL(fd, name, kinds, call) (call)
-#define PADDLETRACK_PASS(fd, name) static_cast<void>(0)
-#define PADDLETRACK_VALUE(fd, name, kinds, to) static_cast<void>(0)
-#define PADDLETRACK_SIZE(wanted) (wanted)
-#define PADDLETRACK_CUT(message, call) (call)
+#define PADDLETRACK_HIT(fd, name) static_cast<void>(0)
+#define PADDLETRACK_ERRNO(fd, name, kinds, to) static_cast<void>(0)
+#define PADDLETRACK_IO_SIZE(wanted) (wanted)
+#define PADDLETRACK_TRUNCATED(message, call) (call)
 #define PADDLETRACK_TABLE(name) static_cast<void>(0)
 #define PADDLETRACK_TIMER(name, moment) (moment)
-#define PADDLETRACK_MARK(what) static_cast<void>(0)
+#define PADDLETRACK_IF_FAIL_POINTS(what) static_cast<void>(0)
 
 #endif
--- a/src/fakes/fake_engine.cpp
+++ b/src/fakes/fake_engine.cpp
@@ -137,14 +137,14 @@
   }
 
   void onCommand(const Array& array) {
-    const std::string verb(array.words[0]);
-    const std::string id(array.words[1]);
+    const std::string verb(array.bulkStrings[0]);
+    const std::string id(array.bulkStrings[1]);
     if (engine_.onCommand) {
       recordCommand(verb, array);
       return engine_.onCommand(engine_, connection_, verb, id);
     }
     if (verb == "NOOP") return sendReply(connection_, {id, "alive", "-", ""});
-    if (verb == "ASK") return onAsk(id, array.words[3]);
+    if (verb == "ASK") return onAsk(id, array.bulkStrings[3]);
     const auto ask = scripts_.find(id);
     if (verb == "QUIT" || verb == "FREE") {
       if (ask == scripts_.end()) return;
@@ -153,7 +153,7 @@
       if (verb == "QUIT") recordEvent(Event::Kind::attemptCancelled, id);
     } else if (verb == "NEXT") {
       if (ask == scripts_.end()) return sendReply(connection_, {id, "500", "-", ""});
-      if (!ask->second.firstPageOnly) sendPage(id, parseNumber(array.words[2]));
+      if (!ask->second.firstPageOnly) sendPage(id, parseNumber(array.bulkStrings[2]));
     }
   }
 
@@ -163,7 +163,7 @@
       return;
     }
     engine_.receivedCommands += verb + " ";
-    if (verb == "NEXT") engine_.receivedCommands += std::string(array.words[2]) + " ";
+    if (verb == "NEXT") engine_.receivedCommands += std::string(array.bulkStrings[2]) + " ";
   }
 
   void onAsk(const std::string& id, std::string_view statement) {
@@ -251,8 +251,8 @@
   return isCached;
 }
 
-void FakeEngine::sendReply(transport::Connection& connection, std::initializer_list<std::string_view> words) {
-  connection.send({transport::BufferSlice(protocol::resp::encodeArray(words))});
+void FakeEngine::sendReply(transport::Connection& connection, std::initializer_list<std::string_view> bulkStrings) {
+  connection.send({transport::BufferSlice(protocol::resp::encodeArray(bulkStrings))});
 }
 
 std::size_t FakeEngine::addAddress(const transport::Address& address) {
--- a/src/fakes/fake_engine.hpp
+++ b/src/fakes/fake_engine.hpp
@@ -68,7 +68,7 @@
   int noopCount = 0;
   /// Identifies connections by address only: those that have ended are not removed.
   std::vector<const transport::Connection*> connections;
-  static void sendReply(transport::Connection& connection, std::initializer_list<std::string_view> words);
+  static void sendReply(transport::Connection& connection, std::initializer_list<std::string_view> bulkStrings);
 
   /// The engine caches the groups of tables that were read last. A group that is not cached is read again.
   struct CacheOptions {
--- a/src/program/signal_receiver.cpp
+++ b/src/program/signal_receiver.cpp
@@ -24,7 +24,7 @@
   const int fd = PADDLETRACK_CALL(-1, "signals.open", "EMFILE ENOMEM",
                                   ::signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC));
   if (fd < 0) throw SystemCallError("signals", "signalfd", errno);
-  PADDLETRACK_MARK(setRole(fd, "signals"));
+  PADDLETRACK_IF_FAIL_POINTS(setRole(fd, "signals"));
   return fd;
 }
 
--- a/src/protocol/resp.cpp
+++ b/src/protocol/resp.cpp
@@ -54,7 +54,7 @@
 Array parseArray(std::string_view input, std::size_t maxWordBytes) {
   Array array;
   std::size_t position = 0;
-  const auto count = parseCount(input, position, '*', kMaxWords);
+  const auto count = parseCount(input, position, '*', kMaxBulkStrings);
   if (!count) return array;
   for (; array.count < *count; ++array.count) {
     const auto length = parseCount(input, position, '$', maxWordBytes);
@@ -65,7 +65,7 @@
     }
     if (input.substr(position + *length, 2) != "\r\n")
       throw ParseError("RESP: a word is longer than its count");
-    array.words[array.count] = input.substr(position, *length);
+    array.bulkStrings[array.count] = input.substr(position, *length);
     position += *length + 2;
   }
   array.size = position;
@@ -113,11 +113,11 @@
 Answer parseAnswer(const Array& array) {
   if (array.count < 2) throw ParseError("RESP: an answer has an id and a word");
   Answer answer;
-  answer.id = array.words[0];
-  answer.kind = parseStatus(array.words[1]);
+  answer.id = array.bulkStrings[0];
+  answer.kind = parseStatus(array.bulkStrings[1]);
   if (answer.kind == AnswerKind::unknown) return answer;  // Its other words have no known meaning.
-  if (array.count > 3) answer.body = array.words[3];
-  parseAnswerFields(array.count > 2 ? array.words[2] : "-", answer);
+  if (array.count > 3) answer.body = array.bulkStrings[3];
+  parseAnswerFields(array.count > 2 ? array.bulkStrings[2] : "-", answer);
   return answer;
 }
 
@@ -151,9 +151,9 @@
   return output;
 }
 
-std::string encodeArray(std::initializer_list<std::string_view> words) {
-  std::string output = "*" + std::to_string(words.size()) + "\r\n";
-  for (const std::string_view word : words) appendBulkString(output, word);
+std::string encodeArray(std::initializer_list<std::string_view> bulkStrings) {
+  std::string output = "*" + std::to_string(bulkStrings.size()) + "\r\n";
+  for (const std::string_view word : bulkStrings) appendBulkString(output, word);
   return output;
 }
 
--- a/src/protocol/resp.hpp
+++ b/src/protocol/resp.hpp
@@ -13,14 +13,14 @@
 /// point into the input.
 namespace paddletrack::protocol::resp {
 
-constexpr std::size_t kMaxWords = 8;
+constexpr std::size_t kMaxBulkStrings = 8;
 constexpr std::size_t kMaxPageBytes = 6000;
 constexpr std::size_t kMaxResultBytes = 48000;
-constexpr std::size_t kMaxWordBytes = kMaxPageBytes;
+constexpr std::size_t kMaxBulkStringBytes = kMaxPageBytes;
 
 /// An array that may still be incomplete.
 struct Array {
-  std::array<std::string_view, kMaxWords> words{};
+  std::array<std::string_view, kMaxBulkStrings> bulkStrings{};
   std::size_t count = 0;
   /// Bytes of the array; 0 while it is incomplete.
   std::size_t size = 0;
@@ -29,7 +29,7 @@
 };
 
 /// Parses the array at the start of `input`. Throws ParseError for what cannot become one.
-Array parseArray(std::string_view input, std::size_t maxWordBytes = kMaxWordBytes);
+Array parseArray(std::string_view input, std::size_t maxWordBytes = kMaxBulkStringBytes);
 
 /// `unknown` is a status that this version does not support.
 enum class AnswerKind : std::uint8_t { ok, overloaded, error, timedOut, alive, chunk, unknown };
@@ -67,7 +67,7 @@
                           std::size_t statementBytes);
 constexpr std::string_view kAskTail = "\r\n";
 /// Encodes any array, as either side sends it.
-std::string encodeArray(std::initializer_list<std::string_view> words);
+std::string encodeArray(std::initializer_list<std::string_view> bulkStrings);
 std::string encodeQuit(std::string_view id);
 std::string encodePriority(std::string_view id, int priority);
 std::string encodeNext(std::string_view id, std::uint32_t pageNumber);
--- a/src/routing/endpoint_watcher.cpp
+++ b/src/routing/endpoint_watcher.cpp
@@ -134,7 +134,7 @@
 
 transport::Task<EndpointWatcher::SessionEnd> EndpointWatcher::runSession(std::uint64_t generation,
                                                                          transport::Address listAddress) {
-  PADDLETRACK_MARK(setNextConnectRole("list"));
+  PADDLETRACK_IF_FAIL_POINTS(setNextConnectRole("list"));
   transport::ConnectResult result =
       co_await transport::connect(scheduler_, listAddress, scheduler_.now() + kConnectTimeout);
   if (!result.descriptor) {
--- a/src/routing/engine_connector.cpp
+++ b/src/routing/engine_connector.cpp
@@ -170,7 +170,7 @@
     attemptFinished.set();
     co_return;
   }
-  PADDLETRACK_MARK(setNextConnectRole("executor"));
+  PADDLETRACK_IF_FAIL_POINTS(setNextConnectRole("executor"));
   transport::ConnectResult result =
       co_await transport::connect(scheduler_, found->second, scheduler_.now() + connectTimeout);
   attempt.connectTime = addressBook_.now() - attempt.startedAt;
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -33,14 +33,14 @@
                                   openStreamSocket(address.nativeHandle()->sa_family));
   const int enabled = 1;
   if (fd < 0) throw ListenError(address.text(), "socket", errno);
-  PADDLETRACK_MARK(setRole(fd, "front"));
+  PADDLETRACK_IF_FAIL_POINTS(setRole(fd, "front"));
   ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
   if (address.family() == AF_INET6) ::setsockopt(fd, IPPROTO_IPV6, IPV6_V6ONLY, &enabled, sizeof enabled);
   if (PADDLETRACK_CALL(fd, "bind", "EADDRINUSE EADDRNOTAVAIL EACCES",
                        ::bind(fd, address.nativeHandle(), address.length())) != 0 ||
       PADDLETRACK_CALL(fd, "listen", "EADDRINUSE", ::listen(fd, 1024)) != 0) {
     const int error = errno;
-    PADDLETRACK_MARK(forgetDescriptor(fd));
+    PADDLETRACK_IF_FAIL_POINTS(forgetDescriptor(fd));
     ::close(fd);
     throw ListenError(address.text(), "listen", error);
   }
@@ -133,7 +133,7 @@
     }
     const auto [destination, size] = input_.prepareSpace();
     const ssize_t received = PADDLETRACK_CALL(descriptor_->fd(), "read", "again short EINTR ECONNRESET",
-                                              ::read(descriptor_->fd(), destination, PADDLETRACK_SIZE(size)));
+                                              ::read(descriptor_->fd(), destination, PADDLETRACK_IO_SIZE(size)));
     if (received > 0) {
       isReadForced_ = false;
       input_.commit(static_cast<std::size_t>(received));
@@ -214,7 +214,7 @@
     message.msg_iovlen = count;
     const ssize_t sent =
         PADDLETRACK_CALL(descriptor_->fd(), "write", "again short EINTR EPIPE ECONNRESET",
-                         PADDLETRACK_CUT(message, ::sendmsg(descriptor_->fd(), &message, MSG_NOSIGNAL)));
+                         PADDLETRACK_TRUNCATED(message, ::sendmsg(descriptor_->fd(), &message, MSG_NOSIGNAL)));
     if (sent < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
       co_await descriptor_->writable.wait();
       continue;
@@ -273,7 +273,7 @@
 
 Listener::Listener(Scheduler& scheduler, int listeningFd)
     : scheduler_(scheduler), descriptor_(scheduler, listeningFd) {
-  PADDLETRACK_MARK(setRole(listeningFd, "door"));
+  PADDLETRACK_IF_FAIL_POINTS(setRole(listeningFd, "door"));
 }
 
 Task<std::unique_ptr<Descriptor>> Listener::accept() {
@@ -281,7 +281,7 @@
     const int fd =
         PADDLETRACK_CALL(descriptor_.fd(), "accept", "again EMFILE ENOMEM ECONNABORTED EINTR",
                          ::accept4(descriptor_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    PADDLETRACK_MARK(inheritRole(descriptor_.fd(), fd));
+    PADDLETRACK_IF_FAIL_POINTS(inheritRole(descriptor_.fd(), fd));
     if (fd >= 0) co_return std::make_unique<Descriptor>(scheduler_, fd);
     if (errno == EAGAIN || errno == EWOULDBLOCK) {
       if (isStopping_) co_return nullptr;
@@ -302,7 +302,7 @@
   ConnectResult result;
   const int fd = PADDLETRACK_CALL(failpoint::kPendingConnect, "socket", "EMFILE ENOBUFS",
                                   openStreamSocket(address.nativeHandle()->sa_family));
-  PADDLETRACK_MARK(setRole(fd, nullptr));
+  PADDLETRACK_IF_FAIL_POINTS(setRole(fd, nullptr));
   if (fd < 0) {
     result.error = errno;
     co_return result;
@@ -318,7 +318,7 @@
     const bool wasSignaled = co_await descriptor->writable.wait(deadline);
     socklen_t length = sizeof result.error;
     ::getsockopt(fd, SOL_SOCKET, SO_ERROR, &result.error, &length);
-    PADDLETRACK_VALUE(fd, "connected", "ECONNREFUSED EHOSTUNREACH", result.error);
+    PADDLETRACK_ERRNO(fd, "connected", "ECONNREFUSED EHOSTUNREACH", result.error);
     if (!wasSignaled && result.error == 0) result.error = ETIMEDOUT;
     if (result.error != 0) co_return result;
     sockaddr_storage peer{};  // An edge may date from before the connect.
--- a/src/transport/scheduler.cpp
+++ b/src/transport/scheduler.cpp
@@ -120,16 +120,16 @@
   if (PADDLETRACK_CALL(fd_, "epoll_add", "ENOMEM ENOSPC",
                        ::epoll_ctl(scheduler_.epoll_, EPOLL_CTL_ADD, fd_, &registration)) != 0) {
     const int error = errno;
-    PADDLETRACK_MARK(forgetDescriptor(fd_));
+    PADDLETRACK_IF_FAIL_POINTS(forgetDescriptor(fd_));
     ::close(fd_);
     throw SystemCallError("the loop", "epoll_ctl", error);
   }
-  PADDLETRACK_MARK(registerWatch(scheduler_.epoll_, fd_, this));
+  PADDLETRACK_IF_FAIL_POINTS(registerWatch(scheduler_.epoll_, fd_, this));
 }
 
 Descriptor::~Descriptor() {
-  PADDLETRACK_PASS(fd_, "close");
-  PADDLETRACK_MARK(forgetDescriptor(fd_));
+  PADDLETRACK_HIT(fd_, "close");
+  PADDLETRACK_IF_FAIL_POINTS(forgetDescriptor(fd_));
   ::epoll_ctl(scheduler_.epoll_, EPOLL_CTL_DEL, fd_, nullptr);
   ::close(fd_);
 }
--- a/tests/failpoint/fail_point_disabled_test.cpp
+++ b/tests/failpoint/fail_point_disabled_test.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 static_assert(PADDLETRACK_EXPANSION(PADDLETRACK_CALL(1, "read", "EINTR", f(1))) == "(f(1))");
-static_assert(PADDLETRACK_EXPANSION(PADDLETRACK_CUT(message, f(1))) == "(f(1))");
-static_assert(PADDLETRACK_EXPANSION(PADDLETRACK_SIZE(size)) == "(size)");
+static_assert(PADDLETRACK_EXPANSION(PADDLETRACK_TRUNCATED(message, f(1))) == "(f(1))");
+static_assert(PADDLETRACK_EXPANSION(PADDLETRACK_IO_SIZE(size)) == "(size)");
 static_assert(PADDLETRACK_EXPANSION(PADDLETRACK_TIMER("at", moment)) == "(moment)");
 static_assert(PADDLETRACK_EXPANSION(PADDLETRACK_TABLE("jobs")) == "static_cast<void>(0)");
-static_assert(PADDLETRACK_EXPANSION(PADDLETRACK_PASS(1, "close")) == "static_cast<void>(0)");
-static_assert(PADDLETRACK_EXPANSION(PADDLETRACK_VALUE(1, "connected", "EIO", to)) == "static_cast<void>(0)");
-static_assert(PADDLETRACK_EXPANSION(PADDLETRACK_MARK(forget(1))) == "static_cast<void>(0)");
+static_assert(PADDLETRACK_EXPANSION(PADDLETRACK_HIT(1, "close")) == "static_cast<void>(0)");
+static_assert(PADDLETRACK_EXPANSION(PADDLETRACK_ERRNO(1, "connected", "EIO", to)) == "static_cast<void>(0)");
+static_assert(PADDLETRACK_EXPANSION(PADDLETRACK_IF_FAIL_POINTS(forget(1))) == "static_cast<void>(0)");
 
 TEST(FailPointDisabled, CallsOnceAndReturnsOwnValueWhenCompiledOut) {
   int calls = 0;
