--- a/src/fakes/fake_engine.hpp
+++ b/src/fakes/fake_engine.hpp
@@ -68,7 +68,8 @@
   int noopCount = 0;
   /// Identifies connections by address only: those that have ended are not removed.
   std::vector<const transport::Connection*> connections;
-  static void sendReply(transport::Connection& connection, std::initializer_list<std::string_view> bulkStrings);
+  static void sendReply(transport::Connection& connection,
+                        std::initializer_list<std::string_view> bulkStrings);
 
   /// The engine caches the groups of tables that were read last. A group that is not cached is read again.
   struct CacheOptions {
@@ -85,13 +86,13 @@
   /// Statements that are neither answered, cancelled nor disconnected.
   std::size_t openAskCount() const { return openAsks_.size(); }
   std::uint64_t askCount() const { return askCount_; }
-  std::uint64_t runCount() const { return runCount_; }
-  unsigned runCount(const std::string& id) const {
+  std::uint64_t executionCount() const { return runCount_; }
+  unsigned executionCount(const std::string& id) const {
     const auto entry = runsById_.find(id);
     return entry == runsById_.end() ? 0 : entry->second;
   }
   /// Ids whose statement was executed to its end more than once.
-  std::uint64_t duplicateRunCount() const { return duplicateRunCount_; }
+  std::uint64_t duplicateExecutionCount() const { return duplicateRunCount_; }
   std::uint64_t askCountAt(std::size_t listening) const { return listenings_[listening]->askCount; }
   /// Ends every connection, as when the process dies. The engine keeps listening.
   void disconnect();
--- a/src/fakes/fake_fleet.cpp
+++ b/src/fakes/fake_fleet.cpp
@@ -43,7 +43,7 @@
          std::to_string(host) + ":" + std::to_string(port);
 }
 
-std::vector<transport::Address> FakeFleet::frontAddresses() const {
+std::vector<transport::Address> FakeFleet::controllerAddresses() const {
   std::vector<transport::Address> addresses;
   for (unsigned controller = 0; controller < options_.controllers; ++controller)
     addresses.emplace_back(frontAddress(controller));
@@ -89,9 +89,9 @@
   return text;
 }
 
-std::uint64_t FakeFleet::duplicateRunCount() const {
+std::uint64_t FakeFleet::duplicateExecutionCount() const {
   std::uint64_t duplicates = 0;
-  for (const auto& engine : engines_) duplicates += engine->duplicateRunCount();
+  for (const auto& engine : engines_) duplicates += engine->duplicateExecutionCount();
   return duplicates;
 }
 
--- a/src/fakes/fake_fleet.hpp
+++ b/src/fakes/fake_fleet.hpp
@@ -68,11 +68,11 @@
   }
   const std::vector<FakeEndpointList::Endpoint>& endpoints() const { return endpoints_; }
   transport::Address addressOf(unsigned host) const { return transport::Address(addressText(host)); }
-  std::vector<transport::Address> frontAddresses() const;
+  std::vector<transport::Address> controllerAddresses() const;
   FakeEngine& engine(std::size_t index) { return *engines_[index]; }
   FakeEndpointList& endpointList() { return endpointList_; }
-  std::uint64_t duplicateRunCount() const;  ///< Over all engines.
-  std::size_t openAskCount() const;         ///< Over all engines.
+  std::uint64_t duplicateExecutionCount() const;  ///< Over all engines.
+  std::size_t openAskCount() const;               ///< Over all engines.
   const std::string& directory() const { return directory_.path(); }
   static LoadGenerator::RequestProfile lookUpProfile(double weight = 1) {
     return {"look-up", "acme", weight, milliseconds(3), milliseconds(20)};
--- a/src/fakes/gossip_cluster.hpp
+++ b/src/fakes/gossip_cluster.hpp
@@ -36,7 +36,7 @@
       : scheduler_(scheduler),
         mesh(scheduler, options.subnet, options.members, options.seed),
         fleet(scheduler, scheduler.outputBudget, fleetOptions(options)),
-        loadGenerator(scheduler, scheduler.outputBudget, fleet.frontAddresses(), options.seed),
+        loadGenerator(scheduler, scheduler.outputBudget, fleet.controllerAddresses(), options.seed),
         members_(options.members) {
     loadGenerator.setHeartbeatInterval(milliseconds(500));
     loadGenerator.start(
--- a/src/fakes/load_generator.cpp
+++ b/src/fakes/load_generator.cpp
@@ -88,21 +88,21 @@
     return connection_ && std::any_of(openRequests_.begin(), openRequests_.end(),
                                       [&](const auto& openRequest) { return openRequest.second == request; });
   }
-  bool depart(std::size_t request, Departure departure) {
+  bool depart(std::size_t request, AbandonMode departure) {
     if (closeReason_ != CloseReason::none) return false;
-    if (departure == Departure::revoke) {
+    if (departure == AbandonMode::revoke) {
       revoke(request);
       return true;
     }
     if (connection_->unsentBytes() > 0) return false;
     isClosing_ = true;
-    if (departure == Departure::halfClose) {
+    if (departure == AbandonMode::halfClose) {
       closeReason_ = CloseReason::halfClosed;
       ::shutdown(fd_, SHUT_WR);
       for (const auto& [sequence, item] : openRequests_) generator_.onClientGone(item, "half-closed");
       return true;
     }
-    closeReason_ = departure == Departure::reset ? CloseReason::reset : CloseReason::closed;
+    closeReason_ = departure == AbandonMode::reset ? CloseReason::reset : CloseReason::closed;
     connection_->shutDown();
     return true;
   }
@@ -355,7 +355,7 @@
   return index;
 }
 
-bool LoadGenerator::departClient(std::size_t request, Departure departure) {
+bool LoadGenerator::abandonRequest(std::size_t request, AbandonMode departure) {
   for (ClientConnection* connection : controllers_[requests_[request].controller].connections)
     if (connection->hasOpenRequest(request)) return connection->depart(request, departure);
   return false;
--- a/src/fakes/load_generator.hpp
+++ b/src/fakes/load_generator.hpp
@@ -54,7 +54,7 @@
     std::array<std::uint64_t, 4> answersByOutcome{};  ///< Indexed by Reply::Outcome.
   };
   /// The ways in which a client abandons a request.
-  enum class Departure { revoke, close, halfClose, reset };
+  enum class AbandonMode { revoke, close, halfClose, reset };
 
   /// Sends heartbeats to all addresses (the controllers, numbered from 0) from now on. The scheduler and the
   /// output budget must outlive the generator.
@@ -73,7 +73,7 @@
   std::size_t resend(std::size_t request, std::size_t controller);
   /// Abandons a request, and except for a revoke all that are open on its connection. Returns false if the
   /// request is not open or its connection is not established.
-  bool departClient(std::size_t request, Departure departure);
+  bool abandonRequest(std::size_t request, AbandonMode departure);
   /// Closes all connections without open requests, also those of the heartbeats, until resumeClients().
   void pauseClients();
   void resumeClients() { isPaused_ = false; }
--- a/src/loadtest/address_failover.cpp
+++ b/src/loadtest/address_failover.cpp
@@ -142,8 +142,8 @@
   for (const std::uint64_t attemptOutcome : routerTotals.attemptOutcomes) totals.attempts += attemptOutcome;
   // Idempotent requests may be executed again, also those by key, whose engines recognize the repeat by the
   // key. Others may not.
-  if (failoverCase.requestClass == 1) totals.keyedRepeats += engine.duplicateRunCount();
-  if (failoverCase.requestClass == 2) totals.nonIdempotentRepeats += engine.duplicateRunCount();
+  if (failoverCase.requestClass == 1) totals.keyedRepeats += engine.duplicateExecutionCount();
+  if (failoverCase.requestClass == 2) totals.nonIdempotentRepeats += engine.duplicateExecutionCount();
   for (std::size_t index = 0; index < controller.loadGenerator.requests().size(); ++index) {
     const LoadGenerator::Request& request = controller.loadGenerator.requests()[index];
     ++totals.requests;
@@ -252,7 +252,7 @@
     fakes::FakeFleet fleet(loop, loop.outputBudget, options);
     for (unsigned value = 0; variant.addressLayout >= 2 && value < engineCount; ++value)
       if (value % 3 != 0) fleet.engine(value).addAddress(Address("unix:" + localAddress(value)));
-    LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.frontAddresses(), 4);
+    LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.controllerAddresses(), 4);
     if (!loop.runUntil([&] { return loadGenerator.isInService(0); }, 10s))
       throw std::runtime_error("the controller does not serve");
     const std::string processPath = "/proc/" + std::to_string(fleet.controller(0).pid());
--- a/src/loadtest/admin_overhead.cpp
+++ b/src/loadtest/admin_overhead.cpp
@@ -37,7 +37,7 @@
   const std::string callgrindFile = folder.path() + "/callgrind";
   options.launcher = {"/usr/bin/valgrind", "-q", "--tool=callgrind", "--callgrind-out-file=" + callgrindFile};
   fakes::FakeFleet fleet(loop, loop.outputBudget, options);
-  LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.frontAddresses(), 9);
+  LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.controllerAddresses(), 9);
   loadGenerator.setHeartbeatInterval(1000ms);
   if (!loop.runUntil([&] { return loadGenerator.isInService(0); }, 30s))
     throw std::runtime_error(variant.name + " does not serve under callgrind");
@@ -60,7 +60,7 @@
   options.subnet = 72;
   options.hasAdminSockets = variant.adminEnabled;
   fakes::FakeFleet fleet(loop, loop.outputBudget, options);
-  LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.frontAddresses(), 9);
+  LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.controllerAddresses(), 9);
   if (!loop.runUntil([&] { return loadGenerator.isInService(0); }, 5s))
     throw std::runtime_error(variant.name + " does not serve");
   runRequests(loop, loadGenerator, 2000);
--- a/src/loadtest/cold_start.cpp
+++ b/src/loadtest/cold_start.cpp
@@ -64,7 +64,7 @@
     warmupEndsAt_ = loop_.now() + std::chrono::milliseconds(kWarmupMs);
     fleet_.emplace(loop_, loop_.outputBudget, fleetOptions);
     fleet_->endpointList().behavior.answerDuration = std::chrono::milliseconds(options.discoveryLatencyMs);
-    loadGenerator_.emplace(loop_, loop_.outputBudget, fleet_->frontAddresses(), 11);
+    loadGenerator_.emplace(loop_, loop_.outputBudget, fleet_->controllerAddresses(), 11);
     loadGenerator_->setHeartbeatInterval(50ms);
     loadGenerator_->setDedicatedClients(!options.routesToServingControllers);
   }
@@ -250,7 +250,7 @@
                   {"lost_with_killed", lostWithKilled},
                   {"doubled", statistics.duplicateAnswers},
                   {"unasked", statistics.unsolicitedAnswers},
-                  {"ran_twice", fleet_->duplicateRunCount()}}},
+                  {"ran_twice", fleet_->duplicateExecutionCount()}}},
                 {"cpu_seconds", cpuSecondsTotal},
                 {"own_mb", maxAnonymousMb}};
   }
--- a/src/loadtest/demo.cpp
+++ b/src/loadtest/demo.cpp
@@ -53,7 +53,7 @@
   options.controllers = controllerCount;
   options.drainNotice = "800ms";
   fakes::FakeFleet fleet(loop, loop.outputBudget, options);
-  LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.frontAddresses(),
+  LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.controllerAddresses(),
                               static_cast<std::uint64_t>(::getpid()));
   loadGenerator.start(requestsPerSecond, {fakes::FakeFleet::lookUpProfile(85),
                                           {"report", "acme", 14, 200ms, 3s, 30s},
@@ -100,13 +100,13 @@
     append("\n%-12s %8s %8s\n", "executor", "open", "ran");
     for (unsigned item = 0; item < options.engines; ++item)
       append("s-%-10u %8zu %8llu\n", item + 1, fleet.engine(item).openAskCount(),
-             static_cast<unsigned long long>(fleet.engine(item).runCount()));
+             static_cast<unsigned long long>(fleet.engine(item).executionCount()));
     const LoadGenerator::Counters& statistics = loadGenerator.counters();
     append("\nsent %llu, open %llu, lost %llu, doubled %llu, run twice %llu\n",
            static_cast<unsigned long long>(statistics.sent), static_cast<unsigned long long>(statistics.open),
            static_cast<unsigned long long>(statistics.lost),
            static_cast<unsigned long long>(statistics.duplicateAnswers),
-           static_cast<unsigned long long>(fleet.duplicateRunCount()));
+           static_cast<unsigned long long>(fleet.duplicateExecutionCount()));
     output += "\nIn another terminal:\n";
     for (unsigned element = 0; element < controllerCount; ++element)
       output += "  " + controllerProgram + " drain --watch -s " + fleet.adminSocketPath(element) + "\n";
--- a/src/loadtest/drain.cpp
+++ b/src/loadtest/drain.cpp
@@ -29,7 +29,7 @@
   options.cores = 256;
   options.drainNotice = "100ms";
   fakes::FakeFleet fleet(loop, loop.outputBudget, options);
-  LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.frontAddresses(), 5);
+  LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.controllerAddresses(), 5);
   loadGenerator.setHeartbeatInterval(20ms);
   if (!loop.runUntil([&] { return loadGenerator.isInService(0); }, 5s))
     throw std::runtime_error("the controller does not serve");
@@ -37,7 +37,7 @@
   adminClient.sendRequest({{"do", "watch"}, {"every_ms", 100}});
   std::optional<fakes::MisbehavingClients> misbehavingClients;
   if (drainCase.hasMisbehavingClients)
-    misbehavingClients.emplace(loop, loop.outputBudget, fleet.frontAddresses()[0], 60);
+    misbehavingClients.emplace(loop, loop.outputBudget, fleet.controllerAddresses()[0], 60);
   loadGenerator.start(drainCase.requestsPerSecond,
                       {fakes::FakeFleet::lookUpProfile(), {"report", "acme", 0, 300ms, 1500ms, 30s}});
   std::vector<double> delaysAfterLastRequest, delaysAfterDeadline;
@@ -72,7 +72,7 @@
   loop.runUntil([&] { return loadGenerator.counters().open == 0; }, 35s);
   const LoadGenerator::Counters& statistics = loadGenerator.counters();
   const bool passed = statistics.lost == 0 && statistics.duplicateAnswers == 0 &&
-                      statistics.unsolicitedAnswers == 0 && fleet.duplicateRunCount() == 0 &&
+                      statistics.unsolicitedAnswers == 0 && fleet.duplicateExecutionCount() == 0 &&
                       quantile(delaysAfterLastRequest, 0.99) < kMaxDelayMs &&
                       quantile(delaysAfterDeadline, 0.99) < kMaxDelayMs;
   std::printf(
@@ -98,7 +98,7 @@
   options.cores = 256;
   options.drainNotice = "100ms";
   fakes::FakeFleet fleet(loop, loop.outputBudget, options);
-  LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.frontAddresses(), 6);
+  LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.controllerAddresses(), 6);
   if (!loop.runUntil([&] { return loadGenerator.isInService(0); }, 5s))
     throw std::runtime_error("the controller does not serve");
   // The answer to a heartbeat would briefly count as unsent bytes.
--- a/src/loadtest/fail_points.cpp
+++ b/src/loadtest/fail_points.cpp
@@ -135,7 +135,7 @@
     fleet_.emplace(loop_, loop_.outputBudget, options_);
     fakes::FakeEndpointList secondDiscovery(loop_, loop_.outputBudget, fleet_->addressOf(251));
     secondDiscovery.publish(fleet_->endpoints(), true);
-    loadGenerator_.emplace(loop_, loop_.outputBudget, fleet_->frontAddresses(), 5);
+    loadGenerator_.emplace(loop_, loop_.outputBudget, fleet_->controllerAddresses(), 5);
     loadGenerator_->setHeartbeatInterval(20ms);
     loadGenerator_->disableResend();
     loadGenerator_->start(0, {{"look-up", "acme", 0, 3ms, 6ms, 3s},
@@ -291,7 +291,7 @@
     for (const LoadGenerator::Request& request : loadGenerator_->requests()) {
       unsigned executions = 0;
       for (std::size_t index = 0; index < options_.engines; ++index)
-        executions += fleet_->engine(index).runCount(request.reference);
+        executions += fleet_->engine(index).executionCount(request.reference);
       if (request.lost) check(mayLoseRequests, "a job was lost");
       if (request.profile != kLoadClass) continue;
       check(executions <= 1, "a run-once job ran " + std::to_string(executions) + " times");
--- a/src/loadtest/placement_effect.cpp
+++ b/src/loadtest/placement_effect.cpp
@@ -42,7 +42,7 @@
   fakes::FakeFleet fleet(loop, loop.outputBudget, options);
   for (unsigned item = 0; item < options.engines; ++item)
     fleet.engine(item).configureCache({10, kGroupBytes, std::chrono::milliseconds(120)});
-  fakes::LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.frontAddresses(), 5);
+  fakes::LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.controllerAddresses(), 5);
   std::vector<fakes::LoadGenerator::RequestProfile> kinds;
   for (unsigned group = 1; group <= kGroupCount; ++group) {
     fakes::LoadGenerator::RequestProfile kind = fakes::FakeFleet::lookUpProfile(1.0 / (5 + group));
@@ -104,7 +104,7 @@
   result.inTimeRatio =
       static_cast<double>(inTimeCount) / static_cast<double>(std::max<std::uint64_t>(1, result.requests));
   result.lost = loadGenerator.counters().lost, result.doubled = loadGenerator.counters().duplicateAnswers,
-  result.executedTwice = fleet.duplicateRunCount();
+  result.executedTwice = fleet.duplicateExecutionCount();
   std::ifstream log(fleet.logPath(0));
   for (std::string line; std::getline(log, line);) {
     result.planLogLines += line.find("moves") != std::string::npos ? 1 : 0;
--- a/src/loadtest/rolling_drain.cpp
+++ b/src/loadtest/rolling_drain.cpp
@@ -46,7 +46,7 @@
   options.cores = 64;
   options.drainNotice = "300ms";
   fakes::FakeFleet fleet(loop, loop.outputBudget, options);
-  LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.frontAddresses(), 8);
+  LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.controllerAddresses(), 8);
   loadGenerator.setHeartbeatInterval(100ms);
   if (!loop.runUntil(
           [&] {
@@ -86,10 +86,10 @@
   std::printf("lost %llu, doubled %llu, run twice %llu; the roll ended with %d\n",
               static_cast<unsigned long long>(statistics.lost),
               static_cast<unsigned long long>(statistics.duplicateAnswers),
-              static_cast<unsigned long long>(fleet.duplicateRunCount()),
+              static_cast<unsigned long long>(fleet.duplicateExecutionCount()),
               finishedInTime ? *rollProcess.exitCode() : -1);
   const bool hasFaults = statistics.lost + statistics.duplicateAnswers + statistics.unsolicitedAnswers +
-                             fleet.duplicateRunCount() >
+                             fleet.duplicateExecutionCount() >
                          0;
   const bool passed = finishedInTime && *rollProcess.exitCode() == 0 && !hasFaults;
   return passed ? 0 : 1;
--- a/src/loadtest/soak.cpp
+++ b/src/loadtest/soak.cpp
@@ -17,7 +17,7 @@
   options.hasAdminSockets = false;
   options.memoryMb = 64;
   fakes::FakeFleet fleet(loop, loop.outputBudget, options);
-  fakes::LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.frontAddresses(), 11);
+  fakes::LoadGenerator loadGenerator(loop, loop.outputBudget, fleet.controllerAddresses(), 11);
   if (!loop.runUntil([&] { return loadGenerator.isInService(0); }, 5s))
     throw std::runtime_error("the controller does not serve");
   loadGenerator.start(requestsPerSecond,
--- a/tests/addresses/address_failover_test.cpp
+++ b/tests/addresses/address_failover_test.cpp
@@ -109,8 +109,8 @@
     EXPECT_LT(front.runRequestMs(2), 15) << good;
     EXPECT_EQ(front.lastOutcome, Reply::Outcome::completed) << front.logText;
     EXPECT_LT(front.runRequestMs(2), 15) << good;
-    EXPECT_EQ(executor.runCount(), 2U);
-    EXPECT_EQ(executor.duplicateRunCount(), 0U);
+    EXPECT_EQ(executor.executionCount(), 2U);
+    EXPECT_EQ(executor.duplicateExecutionCount(), 0U);
     EXPECT_EQ(front.hasLogged("unreachable"), false);
   }
 }
@@ -138,11 +138,11 @@
   front.updateEndpoint({front.unixAddress, front.ipv4Address});
   front.runRequestMs(2);  // It was fully written: it may have been executed and is not retried.
   EXPECT_EQ(front.lastOutcome, Reply::Outcome::failed);
-  EXPECT_EQ(executor.runCount(), 0U);
+  EXPECT_EQ(executor.executionCount(), 0U);
   EXPECT_TRUE(front.hasLogged("silent"));
   EXPECT_LT(front.runRequestMs(2), 60) << front.logText;
   EXPECT_EQ(front.lastOutcome, Reply::Outcome::completed);
-  EXPECT_EQ(executor.runCount(), 1U);
+  EXPECT_EQ(executor.executionCount(), 1U);
 }
 
 // The kernel accepts a part of a long statement for a process that reads nothing: the attempt is rerouted.
@@ -182,7 +182,7 @@
           << static_cast<int>(fault) << front.logText;
       EXPECT_LT(front.runRequestMs(2), 130);
       EXPECT_EQ(front.lastOutcome, Reply::Outcome::completed) << static_cast<int>(fault) << front.logText;
-      EXPECT_LE(executor.duplicateRunCount(), again ? 1U : 0U);
+      EXPECT_LE(executor.duplicateExecutionCount(), again ? 1U : 0U);
     }
 }
 
@@ -201,7 +201,7 @@
   EXPECT_EQ(executor.askCountAt(0), 1U);
   front.runUntil([&] { return front.loadGenerator.counters().open == 0; }, 1000ms);
   EXPECT_EQ(front.loadGenerator.requests()[0].outcome, Reply::Outcome::completed);
-  EXPECT_EQ(executor.duplicateRunCount(), 0U);
+  EXPECT_EQ(executor.duplicateExecutionCount(), 0U);
   front.updateEndpoint({front.unixAddress}, "s-2", false);  // The address belongs to another engine now.
   front.updateEndpoint({front.ipv4Address}, "s-1", false);
   EXPECT_LT(front.runRequestMs(1), 30);
@@ -224,7 +224,7 @@
     EXPECT_EQ(front.loadGenerator.requests()[0].outcome,
               kind == 2 ? Reply::Outcome::failed : Reply::Outcome::completed)
         << kind;
-    EXPECT_EQ(executor.duplicateRunCount(), 0U);  // The first was interrupted before it was complete.
+    EXPECT_EQ(executor.duplicateExecutionCount(), 0U);  // The first was interrupted before it was complete.
     EXPECT_EQ(executor.askCountAt(0), kind == 2 ? 0U : 1U);
   }
 }
@@ -313,7 +313,7 @@
     EXPECT_EQ(front.loadGenerator.requests()[job].outcome, Reply::Outcome::completed) << front.logText;
     EXPECT_EQ(most, before + (good ? 2 : 1)) << front.logText;  // Both ends of a second connection.
     EXPECT_TRUE(front.hasLogged("no answer"));
-    EXPECT_EQ(good && executor->runCount() == 1, good);
+    EXPECT_EQ(good && executor->executionCount() == 1, good);
   }
 }
 
@@ -407,7 +407,7 @@
   for (int element = 0; element < 60; ++element) front.loadGenerator.send(2, 0);
   EXPECT_TRUE(front.runUntil([&] { return front.loadGenerator.counters().open == 0; }, 1000ms));
   EXPECT_EQ(front.loadGenerator.counters().answersByOutcome[0], 90U) << front.logText;
-  for (const auto& executor : executors) EXPECT_EQ(executor->duplicateRunCount(), 0U);
+  for (const auto& executor : executors) EXPECT_EQ(executor->duplicateExecutionCount(), 0U);
 }
 
 // An address goes up and down faster than its health expires: no request is delayed by more than one race
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -35,7 +35,7 @@
     options.program = PADDLETRACK_PROGRAM;
     options.subnet = subnet;
     fleet.emplace(*this, outputBudget, options);
-    loadGenerator.emplace(*this, outputBudget, fleet->frontAddresses(), 7);
+    loadGenerator.emplace(*this, outputBudget, fleet->controllerAddresses(), 7);
     loadGenerator->setHeartbeatInterval(20ms);
     EXPECT_TRUE(runUntil([&] { return loadGenerator->isInService(0); })) << readLog();
     if (options.hasAdminSockets) adminClient.emplace(*this, outputBudget, fleet->adminSocketPath(0));
@@ -137,7 +137,7 @@
   EXPECT_EQ(
       run.loadGenerator->counters().answersByOutcome[2] + run.loadGenerator->counters().answersByOutcome[3],
       0U);
-  EXPECT_EQ(run.fleet->duplicateRunCount(), 0U);
+  EXPECT_EQ(run.fleet->duplicateExecutionCount(), 0U);
 }
 
 TEST(DrainUnderLoad, ReportsProgressMatchingObserversWhenWatched) {
@@ -281,7 +281,7 @@
   {  // a full house
     std::vector<std::unique_ptr<AdminConnection>> crowd;
     std::vector<int> sockets;
-    const transport::Address front = run.fleet->frontAddresses()[0];
+    const transport::Address front = run.fleet->controllerAddresses()[0];
     for (int item = 0; item < 700; ++item) {
       const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
       (void)!::connect(fd, front.nativeHandle(), front.length());
@@ -300,7 +300,7 @@
 
 TEST(DrainUnderLoad, CompletesWithoutLossWhenClientsMisbehave) {
   ControllerUnderLoad run(88);
-  MisbehavingClients vandals(run, run.outputBudget, run.fleet->frontAddresses()[0], 40);
+  MisbehavingClients vandals(run, run.outputBudget, run.fleet->controllerAddresses()[0], 40);
   run.loadGenerator->start(300, {FakeFleet::lookUpProfile(), {"report", "acme", 0.02, 100ms, 900ms, 20s}});
   run.runFor(500ms);
   for (int index = 0; index < 3; ++index) {
@@ -495,7 +495,7 @@
                      {"serve", "--config", run.fleet->directory() + "/config0.json", "--log", "json",
                       "--log-level", "warning"},
                      run.fleet->directory() + "/json");
-  MisbehavingClients vandals(run, run.outputBudget, run.fleet->frontAddresses()[0], 10);
+  MisbehavingClients vandals(run, run.outputBudget, run.fleet->controllerAddresses()[0], 10);
   run.fleet->engine(0).setFault(0, FakeEngine::Fault::unresponsive);
   run.runFor(700ms);
   json.sendSignal(SIGTERM);
--- a/tests/discovery/endpoint_watcher_test.cpp
+++ b/tests/discovery/endpoint_watcher_test.cpp
@@ -284,7 +284,7 @@
   }
   void launch() {
     site.emplace(*this, outputBudget, options);
-    load.emplace(*this, outputBudget, site->frontAddresses(), 3);
+    load.emplace(*this, outputBudget, site->controllerAddresses(), 3);
     load->setHeartbeatInterval(50ms);
     load->setDedicatedClients(true);
     for (std::size_t index = 0; index < options.controllers; ++index) site->startController(index);
@@ -350,7 +350,7 @@
       "heartbeat", protocol::thrift::MessageType::call, 1, std::string("\2\0\1\0\0", 5));
   for (;;) {
     transport::ConnectResult connectResult =
-        co_await transport::connect(fleet, fleet.site->frontAddresses()[0], fleet.now() + 10s);
+        co_await transport::connect(fleet, fleet.site->controllerAddresses()[0], fleet.now() + 10s);
     if (connectResult.descriptor) {
       transport::Connection connection(fleet, std::move(connectResult.descriptor), 256, 4096,
                                        fleet.outputBudget);
--- a/tests/discovery/reconnect_schedule_test.cpp
+++ b/tests/discovery/reconnect_schedule_test.cpp
@@ -118,7 +118,7 @@
   }
   void startFakes() {
     fleet.emplace(*this, outputBudget, options);
-    loadGenerator.emplace(*this, outputBudget, fleet->frontAddresses(), 3);
+    loadGenerator.emplace(*this, outputBudget, fleet->controllerAddresses(), 3);
     loadGenerator->setHeartbeatInterval(30ms);
     loadGenerator->setDedicatedClients(true);
   }
@@ -148,7 +148,7 @@
               options.controllers);
     EXPECT_EQ(loadGenerator->counters().lost, 0u);
     EXPECT_EQ(loadGenerator->counters().duplicateAnswers, 0u);
-    EXPECT_EQ(fleet->duplicateRunCount(), 0u);
+    EXPECT_EQ(fleet->duplicateExecutionCount(), 0u);
   }
   std::string readLog(std::size_t controllerIndex) {
     std::ifstream file(fleet->logPath(controllerIndex));
--- a/tests/loadtest/randomized_faults_test.cpp
+++ b/tests/loadtest/randomized_faults_test.cpp
@@ -28,7 +28,7 @@
 
 using namespace std::chrono_literals;
 using EventKind = Event::Kind;
-using Departure = LoadGenerator::Departure;
+using AbandonMode = LoadGenerator::AbandonMode;
 using ConnectionSelection = FakeEngine::ConnectionFilter;
 
 constexpr unsigned kProxiedEngine = 4;  // This engine is reached through a proxy that delays by milliseconds.
@@ -69,7 +69,7 @@
     engineProxy_->forwardFaults.maxDelay = engineProxy_->reverseFaults.maxDelay = 30ms;
     endpointListProxy_.emplace(loop_, loop_.outputBudget, fleet_->addressOf(251), fleet_->addressOf(250),
                                seed);
-    loadGenerator_.emplace(loop_, loop_.outputBudget, fleet_->frontAddresses(), seed);
+    loadGenerator_.emplace(loop_, loop_.outputBudget, fleet_->controllerAddresses(), seed);
     loadGenerator_->setHeartbeatInterval(20ms);
     loadGenerator_->recordTo(events_);
     // Late answers are judged by the invariant checker, which knows how long a process waited for a core.
@@ -285,7 +285,7 @@
       static constexpr std::array kNames{"revoke", "close", "half-close", "reset"};
       const std::uint32_t departure = action < 13 ? 0 : action < 20 ? 1 : action < 27 ? 2 : 3;
       const auto requestIndex = pickOpenRequest();
-      if (requestIndex && loadGenerator_->departClient(*requestIndex, static_cast<Departure>(departure)))
+      if (requestIndex && loadGenerator_->abandonRequest(*requestIndex, static_cast<AbandonMode>(departure)))
         recordStep(std::string(kNames[departure]) + " " +
                    loadGenerator_->requests()[*requestIndex].reference);
       return;
@@ -326,7 +326,7 @@
       return;
     }
     recordStep("vandals" + controllerText);
-    misbehavingClients_.emplace(loop_, loop_.outputBudget, fleet_->frontAddresses()[controller], 2);
+    misbehavingClients_.emplace(loop_, loop_.outputBudget, fleet_->controllerAddresses()[controller], 2);
   }
 
   void publishEngineState(std::size_t engine, const std::string& id, const std::string& state,
--- a/tests/loadtest/trace_oracle_test.cpp
+++ b/tests/loadtest/trace_oracle_test.cpp
@@ -206,7 +206,7 @@
       (void)co_await connection.receive(eventLoop.now() + 2s);
     }
   }(loop));
-  ASSERT_TRUE(loop.runUntil([&] { return engine.duplicateRunCount() == 1; }));
+  ASSERT_TRUE(loop.runUntil([&] { return engine.duplicateExecutionCount() == 1; }));
   const InvariantReport report = checkInvariants(events.events(), {});
   ASSERT_GE(report.violations.size(), 1U);
   EXPECT_EQ(report.violations.front().invariant, Invariant::noUnsafeRetry);
--- a/tests/program/node_config_test.cpp
+++ b/tests/program/node_config_test.cpp
@@ -378,8 +378,8 @@
     EXPECT_EQ(request.outcome, served ? fakes::Reply::Outcome::completed : fakes::Reply::Outcome::exception)
         << requestKinds[request.profile].requestClass << " at " << request.controller;
   }
-  EXPECT_EQ(first.engine.runCount(), sites[0].requestClasses.size());
-  EXPECT_EQ(second.engine.runCount(), sites[1].requestClasses.size());
+  EXPECT_EQ(first.engine.executionCount(), sites[0].requestClasses.size());
+  EXPECT_EQ(second.engine.executionCount(), sites[1].requestClasses.size());
 }
 
 // At SIGHUP a file of another customer, or one with a bad value, is named, and all stays as it was: the list
--- a/tests/program/rolling_restart_test.cpp
+++ b/tests/program/rolling_restart_test.cpp
@@ -36,7 +36,7 @@
   }
   FakeFleet& site = *startedSite;
   const std::string net = "127.0." + std::to_string(options.subnet) + ".";
-  LoadGenerator loadClients(loop, loop.outputBudget, site.frontAddresses(), 7);
+  LoadGenerator loadClients(loop, loop.outputBudget, site.controllerAddresses(), 7);
   loadClients.setHeartbeatInterval(20ms);
   const auto areAllServing = [&] {
     for (std::size_t index = 0; index < options.controllers; ++index)
@@ -45,7 +45,7 @@
   };
   ASSERT_TRUE(loop.runUntil(areAllServing));
   loadClients.start(150, {FakeFleet::lookUpProfile(9), {"report", "acme", 1, 100ms, 300ms, 2s}});
-  MisbehavingClients vandals(loop, loop.outputBudget, site.frontAddresses().front(), 3);
+  MisbehavingClients vandals(loop, loop.outputBudget, site.controllerAddresses().front(), 3);
   loop.runFor(300ms);
   site.endpointList().setSilent(true);
   site.engine(0).setFault(0, FakeEngine::Fault::unresponsive);
--- a/tests/rebalance/rebalance_cluster_test.cpp
+++ b/tests/rebalance/rebalance_cluster_test.cpp
@@ -53,7 +53,7 @@
   fakes::FakeFleet site(loop, loop.outputBudget, options);
   for (unsigned value = 0; value < options.engines; ++value)
     site.engine(value).configureCache({10, 64 << 20, milliseconds(30)});
-  fakes::LoadGenerator load(loop, loop.outputBudget, site.frontAddresses(), 3);
+  fakes::LoadGenerator load(loop, loop.outputBudget, site.controllerAddresses(), 3);
   std::vector<fakes::LoadGenerator::RequestProfile> kinds;
   for (unsigned group = 1; group <= 12; ++group) {
     kinds.push_back(fakes::FakeFleet::lookUpProfile());
@@ -89,7 +89,7 @@
   for (const auto& [epoch, views] : readEpochViews(site, kControllers, 0).viewsByEpoch)
     EXPECT_EQ(views.size(), 1U) << epoch;
   EXPECT_EQ(load.counters().duplicateAnswers, 0U);
-  EXPECT_EQ(site.duplicateRunCount(), 0U);
+  EXPECT_EQ(site.duplicateExecutionCount(), 0U);
 }
 
 }  // namespace
