--- a/src/fakes/admin_connection.hpp
+++ b/src/fakes/admin_connection.hpp
@@ -1,4 +1,4 @@
-// A connection to a controller's admin socket.
+// Client connection to a controller's admin socket.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,7 @@
 
 namespace paddletrack::fakes {
 
-/// Speaks the line protocol of the admin socket within the scheduler's loop.
+/// Client of the admin protocol that runs in the scheduler's event loop.
 class AdminConnection {
  public:
   /// Connects to the Unix socket at `path`. The scheduler and the output budget must outlive the connection.
@@ -19,16 +19,16 @@
   /// Sends `line`, which ends with a line feed, as soon as the connection is established.
   void send(const std::string& line);
 
-  std::vector<std::string> receivedLines;          ///< Complete lines without their line feeds.
-  std::function<void(const std::string&)> onLine;  ///< Called with each line as it arrives, if set.
-  bool isClosed = false;                           ///< Also true if the connection could not be established.
+  std::vector<std::string> receivedLines;          ///< Complete lines, without the line feeds.
+  std::function<void(const std::string&)> onLine;  ///< Called with each complete line, if set.
+  bool isClosed = false;                           ///< The connection ended or could not be established.
 
  private:
   transport::Task<> run(std::string path);
   void processLines();
 
   transport::Scheduler& scheduler_;
-  transport::OutputBudget& unsent_;
+  transport::OutputBudget& outputBudget_;
   std::optional<transport::Connection> connection_;
   std::string pendingOutput_;
   transport::TaskGroup tasks_;
--- a/src/fakes/event_log.hpp
+++ b/src/fakes/event_log.hpp
@@ -1,4 +1,4 @@
-// Ordered record of what the fakes observed and did. checkInvariants() judges a run by it.
+// Chronological log of the events that the fakes observe or cause. checkInvariants() evaluates it.
 #pragma once
 
 #include <cstdint>
@@ -10,57 +10,58 @@
 
 namespace paddletrack::fakes {
 
-/// One observation of a test run. Which of the fields are set, and what `detail`, `body` and `value` hold,
-/// depends on the kind.
+/// One event of a test run. The kind determines which fields are set and what `detail`, `body` and `value`
+/// hold.
 struct Event {
-  /// Value of `controller` that stands for the process in which the fakes run.
+  /// Value of `controller` that denotes the process in which the fakes run.
   static constexpr std::size_t kTestProcess = static_cast<std::size_t>(-1);
 
   enum class Kind {
-    /// A client sent a request. `detail` is its class, `timeout` the time it allows, `retryOf` the request
-    /// that it repeats, if any.
+    /// A client sent a request. `detail` is its request class, `timeout` its request timeout, `retryOf` the
+    /// reference of the request that it repeats, if any.
     requestSent,
-    /// A complete answer arrived. `detail` is done, throttled, cancelled or exception; `body` holds the rows.
+    /// A client received a complete answer. `detail` is done, throttled, cancelled or exception; `body` holds
+    /// the rows.
     requestAnswered,
-    /// A request will get no answer. `detail` is unsent, closed (its connection ended) or timeout.
+    /// A request will not be answered. `detail` is unsent, closed (its connection ended) or timeout.
     requestLost,
-    /// The client of a request left. `detail` is revoked, closed, half-closed or reset.
+    /// The client abandoned a request. `detail` is revoked, closed, half-closed or reset.
     clientGone,
-    /// An engine received a complete attempt. `observedAt` is the time of its first byte.
+    /// An engine received an attempt completely. `observedAt` is when its first byte was read.
     attemptReceived,
-    /// An engine writes the answer of an attempt. `detail` is its status, `body` holds the rows.
+    /// An engine sends the answer to an attempt. `detail` is its status, `body` holds the rows.
     attemptFinished,
     /// The controller cancelled an attempt.
     attemptCancelled,
-    /// The connection of an attempt ended.
+    /// The connection that carried an attempt ended.
     attemptDisconnected,
-    /// The endpoint list published a state of an engine. `detail` is the state.
+    /// The endpoint list published the state of an engine, which is in `detail`.
     endpointUpdated,
-    /// From now on not every controller can read the endpoint list.
+    /// From now on at least one controller cannot read the endpoint list.
     endpointListLost,
     /// All controllers can read the endpoint list again.
     endpointListRestored,
-    /// A controller was sent the signal `value`.
+    /// The signal `value` was sent to a controller.
     signalSent,
     /// A controller exited with the code `value`.
     processExited,
-    /// A controller is in service after a start.
+    /// A controller has started and is in service.
     serviceStarted,
-    /// A resource of an idle controller was measured. `detail` names it (descriptors, memory, jobs), `value`
-    /// is the amount.
+    /// The use of a resource by an idle controller was measured. `detail` names the resource (descriptors,
+    /// memory in KiB, jobs), `value` is the amount.
     idleMeasured,
-    /// Since the previous such event the process waited `value` microseconds for a processor core. The
-    /// process is a controller or `kTestProcess`.
+    /// A process (a controller or `kTestProcess`) has waited `value` microseconds for a processor core since
+    /// its previous event of this kind.
     cpuWaitMeasured,
   };
 
   Kind kind{};
-  transport::TimePoint observedAt{};  ///< When the event was produced, or read from a socket.
-  transport::TimePoint notBefore{};   ///< Earliest possible time: input may have waited before it was read.
-  std::string reference{};            ///< Reference of the request, if there is one.
+  transport::TimePoint observedAt{};  ///< When the event occurred or its input was read from a socket.
+  transport::TimePoint notBefore{};   ///< Earliest time at which the input may have arrived in the socket.
+  std::string reference{};            ///< Reference of the request; empty if there is none.
   std::size_t controller = 0;
   std::size_t engine = 0;
-  std::uint64_t attempt = 0;  ///< Numbered from 1 over all engines; 0: the event concerns no attempt.
+  std::uint64_t attempt = 0;  ///< Numbered from 1 across all engines; 0 if no attempt is concerned.
   std::string detail{};
   std::string body{};
   std::string retryOf{};
@@ -69,21 +70,21 @@
 };
 
 const char* nameOf(Event::Kind kind);
-/// One line for a human reader, with the time in milliseconds since `origin`.
+/// Formats the event as one human-readable line, with the time in milliseconds since `origin`.
 std::string formatEvent(const Event& event, transport::TimePoint origin);
 
-/// All events of a run in the order in which they were appended. The log is kept in memory until the run
-/// ends.
+/// All events of a run in the order in which they were appended. The log grows in memory until it is
+/// destroyed.
 class EventLog {
  public:
   explicit EventLog(transport::Scheduler& scheduler)
       : scheduler_(scheduler), lastPollAt_(scheduler.now()), pollTimer_(scheduler, [this] { poll(); }) {
     poll();
   }
-  /// Called with each event after it was appended, if set.
+  /// Called with each event after it has been appended, if set.
   std::function<void(const Event&)> onEvent;
 
-  /// Appends `event`. Times that are not set are filled in: now, and the last poll.
+  /// Appends `event`. `observedAt` defaults to the current time, `notBefore` to lastPollAt().
   void append(Event event) {
     if (event.observedAt == transport::TimePoint{}) event.observedAt = scheduler_.now();
     if (event.notBefore == transport::TimePoint{}) event.notBefore = lastPollAt_;
@@ -92,9 +93,10 @@
     if (onEvent) onEvent(Event(events_.back()));
   }
   const std::vector<Event>& events() const { return events_; }
-  /// Allots the next attempt number, from 1.
+  /// Returns the next attempt number, starting at 1.
   std::uint64_t nextAttemptNumber() { return ++attemptCount_; }
-  /// Everything that had arrived by this time has been read: later input arrived at this time or after it.
+  /// Lower bound of the arrival time of input that has not been read yet: all input that arrived before this
+  /// time has been read.
   transport::TimePoint lastPollAt() const { return lastPollAt_; }
 
  private:
@@ -105,7 +107,8 @@
   }
 
   transport::Scheduler& scheduler_;
-  // The poll before the current one: by the current poll its input has been read completely.
+  // Time of the poll before the current one. All input that was pending then has been read by the current
+  // poll.
   transport::TimePoint lastPollAt_;
   transport::TimePoint currentPollAt_{lastPollAt_};
   std::vector<Event> events_;
--- a/src/fakes/fake_endpoint_list.cpp
+++ b/src/fakes/fake_endpoint_list.cpp
@@ -19,7 +19,7 @@
 
 FakeEndpointList::FakeEndpointList(transport::Scheduler& scheduler, transport::OutputBudget& outputBudget,
                                    const transport::Address& address)
-    : scheduler_(scheduler), unsent_(outputBudget), address_(address) {
+    : scheduler_(scheduler), outputBudget_(outputBudget), address_(address) {
   open();
 }
 
@@ -83,7 +83,8 @@
 }
 
 transport::Task<> FakeEndpointList::serve(std::unique_ptr<transport::Descriptor> descriptor) {
-  transport::Connection connection(scheduler_, std::move(descriptor), kInputBytes, kMaxInputBytes, unsent_);
+  transport::Connection connection(scheduler_, std::move(descriptor), kInputBytes, kMaxInputBytes,
+                                   outputBudget_);
   const std::optional<std::size_t> since = co_await receiveQuery(connection);
   if (!since) co_return;
   const bool wasSilenced = co_await waitWhileSilent(connection);
@@ -100,8 +101,8 @@
     co_await serveReplacement(connection, replacement);
     co_return;
   }
-  // Answers are made one at a time, also for clients that have gone meanwhile: a real service does the work
-  // before it notices.
+  // Answers are prepared one at a time, also for clients that have disconnected meanwhile, because a real
+  // service does the work before it notices the disconnect.
   if (behavior.answerDuration.count() > 0) {
     nextAnswerAt_ = std::max(nextAnswerAt_, scheduler_.now()) + behavior.answerDuration;
     co_await scheduler_.sleepUntil(nextAnswerAt_);
@@ -110,7 +111,7 @@
   if (isComplete) co_await serveSubscriber(connection);
 }
 
-// Returns the sequence number of the first line ("since N"), or nothing if no line arrives.
+// Returns the sequence number of the first line ("since N"), or std::nullopt if no line arrives in time.
 transport::Task<std::optional<std::size_t>> FakeEndpointList::receiveQuery(
     transport::Connection& connection) {
   for (std::string_view view; view.find('\n') == std::string_view::npos; view = connection.input().view()) {
@@ -124,7 +125,7 @@
   co_return sequence;
 }
 
-// Returns true if the list stopped being silent while this session waited: the session is to be closed then.
+// Returns true if the silence ended while this session waited; the caller then closes the session.
 transport::Task<bool> FakeEndpointList::waitWhileSilent(transport::Connection& connection) {
   while (silent_ && connection.readEnd() == transport::Connection::ReadEnd::none) {
     connection.input().consume(connection.input().view().size());
@@ -134,7 +135,7 @@
   co_return false;
 }
 
-// Sends the visible events after `since`. Returns false if the answer was truncated.
+// Sends the visible events after the sequence number `since`. Returns false if the answer was truncated.
 transport::Task<bool> FakeEndpointList::sendAnswer(transport::Connection& connection, std::size_t since) {
   std::string answer;
   for (std::size_t index = since; index < visibleEventCount(); ++index) answer += events_[index] + "\n";
@@ -147,7 +148,7 @@
   co_return false;
 }
 
-// Registers the connection for published events and sends heartbeats until the client has gone.
+// Subscribes the connection to published events and sends heartbeats until the client disconnects.
 transport::Task<> FakeEndpointList::serveSubscriber(transport::Connection& connection) {
   struct SubscriberGuard {
     std::list<transport::Connection*>& subscribers;
@@ -163,7 +164,7 @@
   }
 }
 
-// Sends `replacement`, at once or byte by byte, and then waits until the client has gone.
+// Sends `replacement`, at once or byte by byte, and waits until the client disconnects.
 transport::Task<> FakeEndpointList::serveReplacement(transport::Connection& connection,
                                                      const std::string& replacement) {
   const std::size_t step =
--- a/src/fakes/fake_endpoint_list.hpp
+++ b/src/fakes/fake_endpoint_list.hpp
@@ -1,4 +1,4 @@
-// Fake of the service that publishes the list of engines and its changes (the change log).
+// Fake of the service that publishes the endpoint list and its changes.
 #pragma once
 
 #include <list>
@@ -10,12 +10,12 @@
 
 namespace paddletrack::fakes {
 
-/// Serves a list of engines: a subscriber gets the events after the number it names, further events as they
-/// are published, and a heartbeat each second. Faults can be scripted (`Behavior`), and all queries are
-/// recorded.
+/// Serves an endpoint list: a subscriber gets the events after the sequence number that it queries, further
+/// events as they are published, and a heartbeat every second. `Behavior` scripts faults. The times of all
+/// queries are recorded.
 class FakeEndpointList {
  public:
-  /// Listens on `address` at once.
+  /// Listens on `address` immediately. The scheduler and the output budget must outlive the list.
   FakeEndpointList(transport::Scheduler& scheduler, transport::OutputBudget& outputBudget,
                    const transport::Address& address);
 
@@ -26,43 +26,46 @@
     std::string zone = "hall";
     std::string machineType = "std-8";
     std::int64_t startedAtMs = 0;
-    std::vector<std::string> addresses{};  ///< Left out of the event if it is empty.
+    std::vector<std::string> addresses{};  ///< Omitted from the event if empty.
   };
-  /// The JSON line of one event.
+  /// Formats one event as a line of JSON, without a line feed.
   static std::string formatEvent(std::uint64_t sequence, bool isSnapshot,
                                  const std::vector<Endpoint>& servers);
   /// Appends an event and sends it to all subscribers.
   void publish(const std::vector<Endpoint>& servers, bool isSnapshot = false);
-  /// While silent, neither subscribers nor new sessions get a byte. Sessions that queried meanwhile are
-  /// closed when it ends.
+  /// While silent, the list sends nothing to subscribers or new sessions. Sessions that queried during the
+  /// silence are closed when it ends.
   void setSilent(bool isSilent) { silent_ = isSilent; }
   /// Sends `bytes` unchanged to all subscribers.
   void sendRaw(const std::string& bytes);
   std::uint64_t lastSequence() const { return events_.size(); }
   std::size_t subscriberCount() const { return subscribers_.size(); }
-  /// All events so far, in the form in which a controller's configuration holds them.
+  /// Formats all events so far as the JSON of the field `known` in a controller's configuration.
   std::string eventsAsJson() const;
 
   struct Behavior {
-    std::chrono::milliseconds answerDuration{0};  ///< Time to make one answer; answers are made in sequence.
-    unsigned refusalsPerTen = 0;         ///< Connections out of ten that are closed as soon as accepted.
-    std::size_t truncateAfterBytes = 0;  ///< The connection ends after this part of an answer; 0: never.
-    std::optional<std::uint64_t> lastVisibleSequence{};  ///< A stale copy: later events are not served.
-    bool silentAfterAnswer = false;                      ///< Sends nothing after the answer.
-    unsigned unansweredSessions = 0;                     ///< Count of coming sessions that get no byte.
-    std::string replacementAnswer{};  ///< Sent in place of the answer; the session stays no subscriber.
-    std::chrono::milliseconds byteInterval{0};  ///< Interval between its bytes; 0: sent at once.
+    /// Time to prepare one answer; answers are prepared one at a time.
+    std::chrono::milliseconds answerDuration{0};
+    unsigned refusalsPerTen = 0;  ///< Of ten connections, the number closed immediately after accept.
+    /// The connection ends after this many bytes of an answer; 0: never.
+    std::size_t truncateAfterBytes = 0;
+    std::optional<std::uint64_t> lastVisibleSequence{};  ///< Acts as a stale copy that lacks later events.
+    bool silentAfterAnswer = false;   ///< Sends neither events nor heartbeats after the answer.
+    unsigned unansweredSessions = 0;  ///< Number of further sessions that are sent nothing.
+    std::string replacementAnswer{};  ///< Sent in place of the answer; the session does not subscribe.
+    /// Interval between the bytes of the replacement; 0: sent at once.
+    std::chrono::milliseconds byteInterval{0};
   };
   Behavior behavior;
   /// Stops listening and ends all connections.
   void close();
-  /// Listens again.
+  /// Listens again after close().
   void open();
   bool isOpen() const { return listener_.has_value(); }
 
-  std::vector<transport::TimePoint> acceptTimes;         ///< One for each connection.
-  std::vector<transport::TimePoint> queryTimes;          ///< One for each "since" command.
-  std::vector<transport::TimePoint> snapshotQueryTimes;  ///< Those that asked for the complete list.
+  std::vector<transport::TimePoint> acceptTimes;         ///< One time for each connection.
+  std::vector<transport::TimePoint> queryTimes;          ///< One time for each "since" query.
+  std::vector<transport::TimePoint> snapshotQueryTimes;  ///< Queries for the complete list (since 0).
 
  private:
   transport::Task<> acceptConnections();
@@ -77,13 +80,13 @@
   }
 
   transport::Scheduler& scheduler_;
-  transport::OutputBudget& unsent_;
+  transport::OutputBudget& outputBudget_;
   const transport::Address address_;
   std::optional<transport::Listener> listener_;
   std::vector<std::string> events_;  // Sequence numbers start at 1.
   std::list<transport::Connection*> subscribers_;
   bool silent_ = false;
-  transport::TimePoint nextAnswerAt_{};  // When the answers begun so far are finished.
+  transport::TimePoint nextAnswerAt_{};  // When all answers queued so far are prepared.
   std::uint64_t connectionCount_ = 0;
   std::optional<transport::TaskGroup> acceptTasks_;
   std::optional<transport::TaskGroup> sessionTasks_;
--- a/src/fakes/fake_engine.cpp
+++ b/src/fakes/fake_engine.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::size_t kMaxStatementBytes = std::size_t{32} << 20;
 
-// Returns 0 if the text is no number.
+// Returns 0 if the text is not a number.
 unsigned parseNumber(std::string_view text) {
   unsigned value = 0;
   std::from_chars(text.data(), text.data() + text.size(), value);
@@ -52,38 +52,38 @@
 // One connection from a controller.
 class FakeEngine::Session {
  public:
-  Session(FakeEngine& engine, Listening& listening, std::unique_ptr<transport::Descriptor> accepted)
+  Session(FakeEngine& engine, ListenAddress& listenAddress, std::unique_ptr<transport::Descriptor> accepted)
       : engine_(engine),
-        listening_(listening),
+        listenAddress_(listenAddress),
         fd_(accepted->fd()),
         connection_(engine.scheduler_, std::move(accepted), 16 * 1024, kMaxStatementBytes + 4096,
-                    engine.unsent_),
-        askTasks_(engine.scheduler_, [](const char*) {}) {
+                    engine.outputBudget_),
+        statementTasks_(engine.scheduler_, [](const char*) {}) {
     engine_.sessions_.insert(this);
     if (engine_.onCommand) engine_.connections.push_back(&connection_);
   }
   ~Session() {
     engine_.sessions_.erase(this);
     for (const auto& [id, script] : scripts_) {
-      engine_.openAsks_.erase({this, id});
+      engine_.openStatements_.erase({this, id});
       recordEvent(Event::Kind::attemptDisconnected, id);
     }
   }
 
-  const Listening& listening() const { return listening_; }
+  const ListenAddress& listenAddress() const { return listenAddress_; }
 
   transport::Task<> run() {
-    if (listening_.fault == Fault::resetOnAccept) co_return;
+    if (listenAddress_.fault == Fault::resetOnAccept) co_return;
     for (;;) {
-      if (listening_.fault == Fault::unresponsive)
+      if (listenAddress_.fault == Fault::unresponsive)
         co_await engine_.scheduler_.sleepUntil(transport::TimePoint::max());
       transport::InputBuffer& input = connection_.input();
-      const bool startsFresh = input.view().empty();
+      const bool wasInputEmpty = input.view().empty();
       const bool received = co_await connection_.receive();
       if (!received) co_return;
       const ReadTime readTime{engine_.scheduler_.now(),
                               engine_.eventLog_ ? engine_.eventLog_->lastPollAt() : TimePoint{}};
-      if (startsFresh) firstByteTime_ = readTime;
+      if (wasInputEmpty) firstByteTime_ = readTime;
       processCommands(input, readTime);
     }
   }
@@ -105,7 +105,7 @@
     TimePoint notBefore{};
   };
 
-  // Handles all complete commands of the input.
+  // Handles all complete commands in the input.
   void processCommands(transport::InputBuffer& input, const ReadTime& readTime) {
     for (;;) {
       const Array array = protocol::resp::parseArray(input.view(), kMaxStatementBytes);
@@ -115,7 +115,7 @@
       }
       onCommand(array);
       input.consume(array.size);
-      // A command that follows in the same input has been received by this read at the earliest.
+      // The first byte of the next command cannot have been read before this read.
       firstByteTime_ = readTime;
     }
   }
@@ -137,41 +137,41 @@
   }
 
   void onCommand(const Array& array) {
-    const std::string verb(array.bulkStrings[0]);
+    const std::string command(array.bulkStrings[0]);
     const std::string id(array.bulkStrings[1]);
     if (engine_.onCommand) {
-      recordCommand(verb, array);
-      return engine_.onCommand(engine_, connection_, verb, id);
+      recordCommand(command, array);
+      return engine_.onCommand(engine_, connection_, command, id);
     }
-    if (verb == "NOOP") return sendReply(connection_, {id, "alive", "-", ""});
-    if (verb == "ASK") return onAsk(id, array.bulkStrings[3]);
-    const auto ask = scripts_.find(id);
-    if (verb == "QUIT" || verb == "FREE") {
-      if (ask == scripts_.end()) return;
-      engine_.openAsks_.erase({this, id});
-      scripts_.erase(ask);
-      if (verb == "QUIT") recordEvent(Event::Kind::attemptCancelled, id);
-    } else if (verb == "NEXT") {
-      if (ask == scripts_.end()) return sendReply(connection_, {id, "500", "-", ""});
-      if (!ask->second.firstPageOnly) sendPage(id, parseNumber(array.bulkStrings[2]));
+    if (command == "NOOP") return sendReply(connection_, {id, "alive", "-", ""});
+    if (command == "ASK") return onAsk(id, array.bulkStrings[3]);
+    const auto openScript = scripts_.find(id);
+    if (command == "QUIT" || command == "FREE") {
+      if (openScript == scripts_.end()) return;
+      engine_.openStatements_.erase({this, id});
+      scripts_.erase(openScript);
+      if (command == "QUIT") recordEvent(Event::Kind::attemptCancelled, id);
+    } else if (command == "NEXT") {
+      if (openScript == scripts_.end()) return sendReply(connection_, {id, "500", "-", ""});
+      if (!openScript->second.firstPageOnly) sendPage(id, parseNumber(array.bulkStrings[2]));
     }
   }
 
-  void recordCommand(const std::string& verb, const Array& array) {
-    if (verb == "NOOP") {
+  void recordCommand(const std::string& command, const Array& array) {
+    if (command == "NOOP") {
       ++engine_.noopCount;
       return;
     }
-    engine_.receivedCommands += verb + " ";
-    if (verb == "NEXT") engine_.receivedCommands += std::string(array.bulkStrings[2]) + " ";
+    engine_.receivedCommands += command + " ";
+    if (command == "NEXT") engine_.receivedCommands += std::string(array.bulkStrings[2]) + " ";
   }
 
   void onAsk(const std::string& id, std::string_view statement) {
-    ++listening_.askCount;
+    ++listenAddress_.askCount;
     recordEvent(Event::Kind::attemptReceived, id);
     Script script = parseScript(statement);
     if (engine_.overrideScript) engine_.overrideScript(script, id);
-    if (script.fault == Fault::none) script.fault = listening_.fault;
+    if (script.fault == Fault::none) script.fault = listenAddress_.fault;
     if (script.fault == Fault::resetOnAsk) {
       recordEvent(Event::Kind::attemptDisconnected, id);
       return connection_.shutDown();
@@ -180,18 +180,18 @@
     engine_.askTimes.push_back(engine_.scheduler_.now());
     if (engine_.cacheOptions_.capacity > 0 && !engine_.touchCachedGroup(protocol::parseTableGroup(statement)))
       script.duration += engine_.cacheOptions_.missPenalty;
-    engine_.openAsks_.emplace(this, id);
+    engine_.openStatements_.emplace(this, id);
     scripts_[id] = script;
-    askTasks_.spawn(runAsk(id, std::move(script)));
+    statementTasks_.spawn(executeStatement(id, std::move(script)));
   }
 
-  transport::Task<> runAsk(std::string id, Script script) {
+  transport::Task<> executeStatement(std::string id, Script script) {
     if (script.duration > milliseconds(0))
       co_await engine_.scheduler_.sleepUntil(engine_.scheduler_.now() + script.duration);
-    if (!scripts_.contains(id)) co_return;  // It was cancelled meanwhile.
+    if (!scripts_.contains(id)) co_return;  // The statement was cancelled during the wait.
     if (script.status == "200") {
-      ++engine_.runCount_;
-      if (++engine_.runsById_[id] == 2) ++engine_.duplicateRunCount_;
+      ++engine_.executionCount_;
+      if (++engine_.executionsById_[id] == 2) ++engine_.duplicateExecutionCount_;
     }
     if (script.fault == Fault::partialAnswer) {
       connection_.send({transport::BufferSlice::fromStatic("*4\r\n$16\r\n")});
@@ -203,11 +203,11 @@
     recordEvent(Event::Kind::attemptFinished, id, script.status, std::move(rows));
     if (script.status == "200") {
       sendReply(connection_, {id, "200", "batches=" + std::to_string(script.pageCount), formatRow(id, 0)});
-      if (script.pageCount > 1) co_return;  // It stays open until the other pages are fetched.
+      if (script.pageCount > 1) co_return;  // The statement stays open until the other pages are fetched.
     } else {
       sendReply(connection_, {id, script.status, "-", ""});
     }
-    engine_.openAsks_.erase({this, id});
+    engine_.openStatements_.erase({this, id});
     scripts_.erase(id);
     if (script.fault != Fault::duplicateAnswer) co_return;
     co_await engine_.scheduler_.sleepUntil(engine_.scheduler_.now() + milliseconds(7));
@@ -216,28 +216,28 @@
   }
 
   void sendPage(const std::string& id, unsigned pageNumber) {
-    const auto ask = scripts_.find(id);
+    const auto openScript = scripts_.find(id);
     sendReply(connection_, {id, "chunk", "batch=" + std::to_string(pageNumber), formatRow(id, pageNumber)});
-    if (++sentPages_[id] + 1 < ask->second.pageCount) return;
+    if (++sentPages_[id] + 1 < openScript->second.pageCount) return;
     sentPages_.erase(id);
-    engine_.openAsks_.erase({this, id});
-    scripts_.erase(ask);
+    engine_.openStatements_.erase({this, id});
+    scripts_.erase(openScript);
   }
 
   FakeEngine& engine_;
-  Listening& listening_;
+  ListenAddress& listenAddress_;
   const int fd_;  // Owned by `connection_`.
   transport::Connection connection_;
   ReadTime firstByteTime_;                         // When the first byte of the next command was read.
-  std::map<std::string, std::uint64_t> attempts_;  // Recorded attempts in flight, by id.
+  std::map<std::string, std::uint64_t> attempts_;  // Numbers of the recorded attempts in flight, by id.
   std::map<std::string, Script> scripts_;          // Scripts of the open statements, by id.
-  std::map<std::string, unsigned> sentPages_;      // Count of pages sent after the first, by id.
-  transport::TaskGroup askTasks_;
+  std::map<std::string, unsigned> sentPages_;      // Number of pages sent after the first, by id.
+  transport::TaskGroup statementTasks_;
 };
 
 FakeEngine::FakeEngine(transport::Scheduler& scheduler, transport::OutputBudget& outputBudget,
                        const transport::Address& address)
-    : scheduler_(scheduler), unsent_(outputBudget), sessionTasks_(scheduler, [](const char*) {}) {
+    : scheduler_(scheduler), outputBudget_(outputBudget), sessionTasks_(scheduler, [](const char*) {}) {
   addAddress(address);
 }
 
@@ -251,40 +251,42 @@
   return isCached;
 }
 
-void FakeEngine::sendReply(transport::Connection& connection, std::initializer_list<std::string_view> bulkStrings) {
+void FakeEngine::sendReply(transport::Connection& connection,
+                           std::initializer_list<std::string_view> bulkStrings) {
   connection.send({transport::BufferSlice(protocol::resp::encodeArray(bulkStrings))});
 }
 
 std::size_t FakeEngine::addAddress(const transport::Address& address) {
-  listenings_.push_back(std::make_unique<Listening>(scheduler_, address));
-  listenings_.back()->acceptTasks->spawn(acceptConnections(*listenings_.back()));
-  return listenings_.size() - 1;
+  listenAddresses_.push_back(std::make_unique<ListenAddress>(scheduler_, address));
+  listenAddresses_.back()->acceptTasks->spawn(acceptConnections(*listenAddresses_.back()));
+  return listenAddresses_.size() - 1;
 }
 
-void FakeEngine::setFault(std::size_t listening, Fault fault) {
-  listenings_[listening]->fault = fault;
+void FakeEngine::setFault(std::size_t addressIndex, Fault fault) {
+  listenAddresses_[addressIndex]->fault = fault;
   if (fault != Fault::unresponsive && fault != Fault::resetOnAccept) return;
   for (Session* session : sessions_)
-    if (&session->listening() == listenings_[listening].get()) session->disconnect();
+    if (&session->listenAddress() == listenAddresses_[addressIndex].get()) session->disconnect();
 }
 
-void FakeEngine::closeAddress(std::size_t listening) {
-  listenings_[listening]->acceptTasks.reset();
-  listenings_[listening]->listener.reset();
+void FakeEngine::closeAddress(std::size_t addressIndex) {
+  listenAddresses_[addressIndex]->acceptTasks.reset();
+  listenAddresses_[addressIndex]->listener.reset();
   for (Session* session : sessions_)
-    if (&session->listening() == listenings_[listening].get()) session->disconnect();
+    if (&session->listenAddress() == listenAddresses_[addressIndex].get()) session->disconnect();
 }
 
-transport::Task<> FakeEngine::acceptConnections(Listening& listening) {
+transport::Task<> FakeEngine::acceptConnections(ListenAddress& listenAddress) {
   for (;;) {
-    auto descriptor = co_await listening.listener->accept();
+    auto descriptor = co_await listenAddress.listener->accept();
     acceptTimes.push_back(scheduler_.now());
-    sessionTasks_.spawn(serve(listening, std::move(descriptor)));
+    sessionTasks_.spawn(serve(listenAddress, std::move(descriptor)));
   }
 }
 
-transport::Task<> FakeEngine::serve(Listening& listening, std::unique_ptr<transport::Descriptor> descriptor) {
-  Session session(*this, listening, std::move(descriptor));
+transport::Task<> FakeEngine::serve(ListenAddress& listenAddress,
+                                    std::unique_ptr<transport::Descriptor> descriptor) {
+  Session session(*this, listenAddress, std::move(descriptor));
   co_await session.run();
 }
 
--- a/src/fakes/fake_fleet.cpp
+++ b/src/fakes/fake_fleet.cpp
@@ -10,7 +10,7 @@
 constexpr unsigned kControllerHostsPerPort = 50;
 constexpr unsigned kFirstControllerHost = 200;
 constexpr unsigned kEndpointListHost = 250;
-constexpr unsigned kFirstPort = 18443;
+constexpr unsigned kBasePort = 18443;
 
 std::string formatProfile(const char* name, const char* idempotency, int objectiveMs, int timeoutMs) {
   return std::string(R"({"name":")") + name + R"(","idempotency":")" + idempotency +
@@ -27,7 +27,7 @@
       endpointList_(scheduler, outputBudget, transport::Address(addressText(kEndpointListHost))) {
   for (unsigned engine = 0; engine < options.engines; ++engine) {
     const std::string address =
-        addressText(1 + engine % kEngineHostsPerPort, kFirstPort + engine / kEngineHostsPerPort);
+        addressText(1 + engine % kEngineHostsPerPort, kBasePort + engine / kEngineHostsPerPort);
     engines_.push_back(std::make_unique<FakeEngine>(scheduler, outputBudget, transport::Address(address)));
     endpoints_.push_back({"s-" + std::to_string(engine + 1), address});
     if (options.customizeEndpoint) options.customizeEndpoint(endpoints_.back(), engine, directory_.path());
@@ -46,14 +46,14 @@
 std::vector<transport::Address> FakeFleet::controllerAddresses() const {
   std::vector<transport::Address> addresses;
   for (unsigned controller = 0; controller < options_.controllers; ++controller)
-    addresses.emplace_back(frontAddress(controller));
+    addresses.emplace_back(controllerAddress(controller));
   return addresses;
 }
 
-std::string FakeFleet::frontAddress(std::size_t controller) const {
+std::string FakeFleet::controllerAddress(std::size_t controller) const {
   const auto index = static_cast<unsigned>(controller);
   return addressText(kFirstControllerHost + index % kControllerHostsPerPort,
-                     kFirstPort + index / kControllerHostsPerPort);
+                     kBasePort + index / kControllerHostsPerPort);
 }
 
 void FakeFleet::changeEndpointList(std::size_t index, const std::string& address) const {
@@ -102,10 +102,11 @@
 }
 
 std::string FakeFleet::buildConfig(std::size_t controller) const {
-  return R"({"name":"c)" + std::to_string(controller + 1) + R"(","listen":")" + frontAddress(controller) +
-         R"(","seed":"7a)" + std::to_string(controller) + R"(","limits":{"cores":1,"memory_mb":)" +
-         std::to_string(options_.memoryMb) + R"(,"sockets":)" + std::to_string(options_.maxSockets) +
-         R"(},"changelog":")" + addressText(kEndpointListHost) + R"(","known":)" +
+  return R"({"name":"c)" + std::to_string(controller + 1) + R"(","listen":")" +
+         controllerAddress(controller) + R"(","seed":"7a)" + std::to_string(controller) +
+         R"(","limits":{"cores":1,"memory_mb":)" + std::to_string(options_.memoryMb) + R"(,"sockets":)" +
+         std::to_string(options_.maxSockets) + R"(},"changelog":")" + addressText(kEndpointListHost) +
+         R"(","known":)" +
          (options_.includesKnownEvents ? endpointList_.eventsAsJson()
                                        : std::string(R"({"seq":0,"results":[]})")) +
          R"(,"settings":{"balancers":)" + std::to_string(options_.controllers) +
--- a/src/fakes/fake_fleet.hpp
+++ b/src/fakes/fake_fleet.hpp
@@ -1,4 +1,4 @@
-// A small fleet on loopback: fake engines, a fake endpoint list, and controllers as processes of their own.
+// Small fleet on loopback addresses: fake engines, a fake endpoint list, and controllers as child processes.
 #pragma once
 
 #include <functional>
@@ -14,13 +14,13 @@
 
 namespace paddletrack::fakes {
 
-/// What a fleet consists of. Its request classes are `look-up` and `report` (idempotent), `order` (idempotent
-/// by key) and `load` (not idempotent).
+/// Composition and configuration of a fleet. Its request classes are `look-up` and `report` (idempotent),
+/// `order` (idempotent by key) and `load` (not idempotent).
 struct FakeFleetOptions {
   std::string program;
-  std::vector<std::string> launcher{};  ///< A program that starts the controller, with its arguments.
-  /// The fleet uses 127.0.SUBNET.0/24 (from 256 on 127.1.0.0/24 and so on), so that concurrent runs do not
-  /// collide.
+  std::vector<std::string> launcher{};  ///< Wrapper program that executes the controller, with its arguments.
+  /// Index of the loopback network: 127.0.SUBNET.0/24, and 127.1.0.0/24 and following from 256 on. Concurrent
+  /// runs need different subnets.
   int subnet = 0;
   unsigned engines = 4;
   unsigned controllers = 1;
@@ -28,31 +28,33 @@
   unsigned maxSockets = 1024;
   unsigned cores = 16;
   bool hasAdminSockets = true;
-  std::string operatorConfig{};  ///< Further blocks of each operator file.
-  /// Further blocks of one controller's operator file.
+  std::string operatorConfig{};  ///< Additional blocks of every operator's file.
+  /// Returns additional blocks of one controller's operator's file, if set.
   std::function<std::string(unsigned controller)> operatorConfigOf{};
   std::string drainNotice = "300ms";
-  bool includesKnownEvents = true;    ///< The configuration holds the events that the list has so far.
-  bool startsControllers = true;      ///< The constructor starts all controllers.
-  std::int64_t warmupMs = 0;          ///< How long an engine warms up.
-  double initialCapacityRatio = 1.0;  ///< Capacity of an engine when it starts.
-  double warmupOverloadRatio = 0;  ///< Load over three seconds, in this capacity, that makes an engine fail.
-  /// Changes what the list publishes about one engine, if set.
+  bool includesKnownEvents = true;  ///< The controllers' configuration contains the events published so far.
+  bool startsControllers = true;    ///< The constructor starts all controllers.
+  std::int64_t warmupMs = 0;        ///< Duration of an engine's warm-up in milliseconds.
+  double initialCapacityRatio = 1.0;  ///< Capacity of a starting engine, relative to its full capacity.
+  /// A warming engine fails when its load over three seconds exceeds this multiple of its capacity.
+  double warmupOverloadRatio = 0;
+  /// Modifies the endpoint record that the list publishes for an engine, if set.
   std::function<void(FakeEndpointList::Endpoint& endpoint, unsigned engine, const std::string& directory)>
       customizeEndpoint{};
 };
 
-/// Owns the fakes and the controller processes, and the directory with their configuration and log files.
+/// Owns the fakes, the controller processes, and the directory with the controllers' configuration and log
+/// files.
 class FakeFleet {
  public:
   /// The scheduler and the output budget must outlive the fleet.
   FakeFleet(transport::Scheduler& scheduler, transport::OutputBudget& outputBudget,
             const FakeFleetOptions& options);
 
-  /// Starts a controller, or restarts it. Its files are written anew.
+  /// Starts or restarts a controller and rewrites its configuration files. A running process is killed.
   void startController(std::size_t controller) { startController(controller, options_.launcher); }
   void startController(std::size_t controller, const std::vector<std::string>& launcher);
-  /// Names another endpoint list in the controller's configuration and sends SIGHUP.
+  /// Rewrites the controller's configuration with another endpoint list address and sends SIGHUP.
   void changeEndpointList(std::size_t controller, const std::string& address) const;
   ServerProcess& controller(std::size_t index) { return *processes_[index]; }
   std::string addressText(unsigned host, unsigned port = 18443) const;
@@ -71,15 +73,15 @@
   std::vector<transport::Address> controllerAddresses() const;
   FakeEngine& engine(std::size_t index) { return *engines_[index]; }
   FakeEndpointList& endpointList() { return endpointList_; }
-  std::uint64_t duplicateExecutionCount() const;  ///< Over all engines.
-  std::size_t openAskCount() const;               ///< Over all engines.
+  std::uint64_t duplicateExecutionCount() const;  ///< Sum over all engines.
+  std::size_t openAskCount() const;               ///< Sum over all engines.
   const std::string& directory() const { return directory_.path(); }
   static LoadGenerator::RequestProfile lookUpProfile(double weight = 1) {
     return {"look-up", "acme", weight, milliseconds(3), milliseconds(20)};
   }
 
  private:
-  std::string frontAddress(std::size_t controller) const;
+  std::string controllerAddress(std::size_t controller) const;
   std::string buildConfig(std::size_t controller) const;
   std::string buildOperatorConfig(std::size_t controller) const;
 
--- a/src/fakes/gossip_cluster.hpp
+++ b/src/fakes/gossip_cluster.hpp
@@ -1,4 +1,4 @@
-// A fleet whose controllers gossip, with a fault proxy between each two of them.
+// Fleet whose controllers gossip, with a fault proxy between each pair of them.
 #pragma once
 
 #include <csignal>
@@ -22,9 +22,10 @@
   std::uint64_t seed = 1;
   std::string gossipInterval = "100ms";
   std::string retention = "10m";
-  /// Name of the cluster to which a member belongs; if it is not set, all belong to one.
+  /// Returns the name of the cluster to which a member belongs. If it is not set, all members share one
+  /// cluster.
   std::function<std::string(unsigned member)> clusterOf{};
-  std::string extraOperatorConfig{};  ///< Further blocks of each operator file.
+  std::string extraOperatorConfig{};  ///< Additional blocks of every operator's file.
 };
 
 /// Starts the controllers (members, numbered from 0) and reads their status.
@@ -43,7 +44,7 @@
         0, {{"look-up", "acme", 1, milliseconds(1), milliseconds(2), milliseconds(3000), "ms=1"}});
   }
 
-  /// The status report of a member, or null if it does not answer within the timeout.
+  /// Returns the status report of a member, or null JSON if the member does not answer within the timeout.
   Json status(unsigned member, milliseconds timeout = milliseconds(2000)) {
     AdminConnection connection(scheduler_, scheduler_.outputBudget, fleet.adminSocketPath(member));
     connection.send("{\"v\":1,\"id\":1,\"do\":\"status\"}\n");
@@ -51,31 +52,31 @@
     if (connection.receivedLines.empty()) return {};
     return Json::parse(connection.receivedLines.front())["status"];
   }
-  /// The part of the status report that is about gossip, or null.
+  /// Returns the gossip section of the status report, or null JSON if there is none.
   Json gossipStatus(unsigned member) {
     const Json memberStatus = status(member);
     if (memberStatus.is_null() || !memberStatus.contains("share")) return {};
     return memberStatus["share"];
   }
-  /// Members that `member` knows of, itself included; 0 if it does not answer.
+  /// Returns the number of members that `member` knows of, including itself; 0 if it does not answer.
   std::uint64_t memberCount(unsigned member) {
     const Json gossip = gossipStatus(member);
     return gossip.is_null() ? 0 : gossip["owners"].get<std::uint64_t>();
   }
-  /// Requests of the whole fleet that `member` knows of; 0 if it does not answer.
+  /// Returns the number of requests in the fleet that `member` knows of; 0 if it does not answer.
   std::uint64_t fleetRequestCount(unsigned member) {
     const Json gossip = gossipStatus(member);
     return gossip.is_null() ? 0 : gossip["fleet"]["jobs"].get<std::uint64_t>();
   }
 
-  /// Sends requests to a member and waits until all are answered.
+  /// Sends requests to a member and waits until none is open, for at most five seconds.
   void runRequests(unsigned member, unsigned count) {
     for (unsigned request = 0; request < count; ++request) loadGenerator.send(0, member);
     scheduler_.runUntil([&] { return loadGenerator.counters().open == 0; }, milliseconds(5000));
   }
 
-  /// Waits until `predicate` has held for each of the members. Returns how long that took, or nothing after
-  /// the timeout.
+  /// Waits until `predicate` has held once for each of the members. Returns the time that took, or
+  /// std::nullopt after the timeout.
   std::optional<transport::Clock::duration> waitForMembers(const std::vector<unsigned>& members,
                                                            const std::function<bool(unsigned)>& predicate,
                                                            milliseconds timeout) {
@@ -92,7 +93,7 @@
     std::iota(members.begin(), members.end(), 0U);
     return members;
   }
-  /// Waits until all members are in service and know of each other. Returns whether they do.
+  /// Waits until all members are in service and know each other. Returns false after the timeout.
   bool start(milliseconds timeout = milliseconds(20000)) {
     const bool areServing = scheduler_.runUntil([&] { return areAllInService(); }, timeout);
     if (!areServing) return false;
--- a/src/fakes/invariant_checker.cpp
+++ b/src/fakes/invariant_checker.cpp
@@ -18,7 +18,8 @@
 
 struct AttemptRecord {
   TimePoint receivedAt{};
-  std::string result{};  // The status of its answer, or the name of the event that ended it.
+  // Status of the answer or name of the event that ended the attempt; empty: in flight.
+  std::string result{};
   std::string rows{};
 };
 struct RequestRecord {
@@ -43,10 +44,10 @@
   std::optional<TimePoint> stopRequestedAt{};
   std::optional<TimePoint> killedAt{};
   std::vector<KillInterval> killIntervals{};
-  std::map<std::string, std::int64_t> startMeasures{};
+  std::map<std::string, std::int64_t> startValues{};
 };
 
-// Replays the events and keeps what is known of each request, attempt, engine and process.
+// Replays the events and maintains the state of each request, attempt, engine and process.
 class InvariantChecker {
  public:
   InvariantChecker(const std::vector<Event>& events, const InvariantOptions& options)
@@ -66,7 +67,7 @@
     const auto found = cumulativeCpuWaits_.find(process);
     return found == cumulativeCpuWaits_.end() || found->second.empty() ? 0 : found->second.rbegin()->second;
   }
-  // How long the processes together waited for a processor core between two times.
+  // Total time that the processes waited for a processor core between two points in time.
   TimePoint::duration cpuWait(std::initializer_list<std::size_t> processes, TimePoint begin,
                               TimePoint until) const {
     std::int64_t sum = 0;
@@ -78,16 +79,16 @@
         const auto next = samples.upper_bound(time);
         return next == samples.begin() ? 0 : std::prev(next)->second;
       };
-      // A wait is recorded when it ends, so the first sample after `until` is included.
+      // A wait is recorded when it ends, so the first sample at or after `until` is included.
       const auto last = samples.lower_bound(until);
       sum += (last == samples.end() ? samples.rbegin()->second : last->second) - cumulativeAt(begin);
     }
     return std::chrono::microseconds(sum);
   }
-  void addViolation(Invariant rule, const std::string& description) {
-    report_.violations.push_back({rule, description, eventIndex_});
+  void addViolation(Invariant invariant, const std::string& description) {
+    report_.violations.push_back({invariant, description, eventIndex_});
   }
-  void countCheck(Invariant rule) { ++report_.checkCounts[static_cast<std::size_t>(rule)]; }
+  void countCheck(Invariant invariant) { ++report_.checkCounts[static_cast<std::size_t>(invariant)]; }
 
   void onEvent(const Event& event) {
     switch (event.kind) {
@@ -112,7 +113,7 @@
       case Kind::attemptCancelled:
       case Kind::attemptDisconnected: {
         AttemptRecord& attempt = attempts_[event.attempt];
-        if (!attempt.result.empty()) return;  // A duplicate answer is a fault of the fake engine.
+        if (!attempt.result.empty()) return;  // The duplicateAnswer fault of the fake engine; no violation.
         attempt.result = event.kind == Kind::attemptFinished ? event.detail : nameOf(event.kind);
         attempt.rows = event.body;
         return;
@@ -157,14 +158,14 @@
     countCheck(Invariant::answeredOnce);
     const auto found = requests_.find(event.reference);
     if (found == requests_.end() || !found->second.sent)
-      return addViolation(Invariant::answeredOnce, "an answer to nothing");
+      return addViolation(Invariant::answeredOnce, "received an answer that matches no request");
     RequestRecord& request = found->second;
     ++request.answerCount;
     if (request.answerCount > 1)
-      return addViolation(Invariant::answeredOnce, event.reference + " is answered twice");
+      return addViolation(Invariant::answeredOnce, event.reference + " was answered twice");
     if (request.lost)
       return addViolation(Invariant::answeredOnce,
-                          event.reference + " is answered after its connection's end");
+                          event.reference + " was answered after its connection ended");
     request.outcome = event.detail;
     checkAnswerTime(event, request);
     if (event.detail == "done") checkRows(event, request);
@@ -179,28 +180,30 @@
     const TimePoint::duration waited =
         cpuWait({request.sent->controller, Event::kTestProcess}, request.sent->observedAt, event.observedAt);
     if (event.notBefore > dueAt + options_.maxLateness + waited)
-      addViolation(Invariant::answeredOnce, event.reference + " is answered too late");
+      addViolation(Invariant::answeredOnce, event.reference + " was answered too late");
   }
 
-  // The rows must be those of one of the request's own attempts.
+  // The rows must equal those that one of the request's own attempts produced.
   void checkRows(const Event& event, const RequestRecord& request) {
     countCheck(Invariant::rowsOfOwnAttempt);
-    const auto producedRows = [&](std::uint64_t attempt) {
+    const auto hasMatchingRows = [&](std::uint64_t attempt) {
       return attempts_[attempt].result == "200" && attempts_[attempt].rows == event.body;
     };
-    if (std::none_of(request.attempts.begin(), request.attempts.end(), producedRows))
-      addViolation(Invariant::rowsOfOwnAttempt, event.reference + " is answered with rows that nobody made");
+    if (std::none_of(request.attempts.begin(), request.attempts.end(), hasMatchingRows))
+      addViolation(Invariant::rowsOfOwnAttempt,
+                   event.reference + " was answered with rows that none of its attempts produced");
   }
 
-  // "Throttled" promises the client that the request was not executed.
+  // The answer "throttled" guarantees the client that the request was not executed.
   void checkNotExecuted(const Event& event, const RequestRecord& request) {
     countCheck(Invariant::rejectedNotExecuted);
     for (const std::uint64_t attempt : request.attempts)
-      if (!provenNotExecuted(attempt))
-        return addViolation(Invariant::rejectedNotExecuted, event.reference + " ran, and is told as unrun");
+      if (!isProvenNotExecuted(attempt))
+        return addViolation(Invariant::rejectedNotExecuted,
+                            event.reference + " was executed, but answered \"throttled\"");
   }
 
-  bool provenNotExecuted(std::uint64_t attempt) const {
+  bool isProvenNotExecuted(std::uint64_t attempt) const {
     const std::string& result = attempts_.at(attempt).result;
     return result == "503" || result == "504";
   }
@@ -221,10 +224,10 @@
   void checkRetry(const Event& event, const RequestRecord& request) {
     countCheck(Invariant::noUnsafeRetry);
     for (const std::uint64_t attempt : request.attempts) {
-      if (provenNotExecuted(attempt)) continue;
+      if (isProvenNotExecuted(attempt)) continue;
       return addViolation(Invariant::noUnsafeRetry,
-                          event.reference + " came again, and the attempt before " +
-                              (attempts_[attempt].result.empty() ? "is out" : "ended with ") +
+                          event.reference + " was retried although an earlier attempt " +
+                              (attempts_[attempt].result.empty() ? "is in flight" : "ended with ") +
                               attempts_[attempt].result);
     }
   }
@@ -238,8 +241,8 @@
     report_.maxDelayAfterClientGone = std::max(report_.maxDelayAfterClientGone, elapsed);
     if (elapsed > options_.clientGoneGrace + options_.timingSlack)
       addViolation(Invariant::noAttemptAfterClientGone,
-                   event.reference + " begins " + std::to_string(elapsed.count()) +
-                       " ms after its client was " + request.clientGone->detail);
+                   event.reference + " got an attempt " + std::to_string(elapsed.count()) +
+                       " ms after its client left: " + request.clientGone->detail);
   }
 
   void checkAttemptAtDrainingEngine(const Event& event, const RequestRecord& request) {
@@ -247,7 +250,8 @@
     if (!engine.drainingSince) return;
     countCheck(Invariant::drainingEngineGetsNoAttempts);
     if (endpointListLost_) return;
-    // A change that was published while the list was lost counts from the time when it can be read again.
+    // A change that was published while the list was unreachable takes effect once the list can be read
+    // again.
     const TimePoint effectiveAt =
         std::max(*engine.drainingSince,
                  listRestoredAt_ ? *listRestoredAt_ + options_.relistTimeout : *engine.drainingSince);
@@ -256,7 +260,7 @@
                                                      cpuWait({controller}, effectiveAt, event.observedAt));
     if (elapsed > options_.drainGrace + options_.timingSlack)
       addViolation(Invariant::drainingEngineGetsNoAttempts,
-                   "executor " + std::to_string(event.engine) + ", " + engine.state + ", gets " +
+                   "engine " + std::to_string(event.engine) + ", " + engine.state + ", received " +
                        event.reference + " after " + std::to_string(elapsed.count()) + " ms");
   }
 
@@ -269,41 +273,42 @@
       return;
     }
     if (!process.stopRequestedAt || event.value != 0)
-      return addViolation(Invariant::cleanExit, name + " ends with " + std::to_string(event.value));
+      return addViolation(Invariant::cleanExit, name + " exited with code " + std::to_string(event.value));
     const auto elapsed = duration_cast<milliseconds>(
         event.notBefore - *process.stopRequestedAt -
         cpuWait({event.controller, Event::kTestProcess}, *process.stopRequestedAt, event.observedAt));
     if (elapsed > options_.stopTimeout)
       addViolation(Invariant::cleanExit,
-                   name + " ends " + std::to_string(elapsed.count()) + " ms after SIGTERM");
+                   name + " exited " + std::to_string(elapsed.count()) + " ms after SIGTERM");
   }
 
-  // The first measurement of each resource, after the start, is what later ones are compared with.
+  // The first measurement of each resource, taken after the start, is the baseline of the later ones.
   void onIdleMeasured(const Event& event) {
-    auto& startMeasures = processes_[event.controller].startMeasures;
-    const auto [startValue, isFirst] = startMeasures.emplace(event.detail, event.value);
+    auto& startValues = processes_[event.controller].startValues;
+    const auto [startValue, isFirst] = startValues.emplace(event.detail, event.value);
     if (isFirst) return;
     countCheck(Invariant::releasedWhenIdle);
-    if (event.value > startValue->second + maxExtra(event.detail))
+    if (event.value > startValue->second + maxIncrease(event.detail))
       addViolation(Invariant::releasedWhenIdle, "controller " + std::to_string(event.controller) + ": " +
                                                     event.detail + " " + std::to_string(event.value) +
-                                                    ", at its start " + std::to_string(startValue->second));
+                                                    ", after its start " +
+                                                    std::to_string(startValue->second));
   }
 
-  std::int64_t maxExtra(const std::string& resource) const {
+  std::int64_t maxIncrease(const std::string& resource) const {
     if (resource == "memory") return options_.maxExtraMemoryKb;
     if (resource == "descriptors") return options_.maxExtraDescriptors;
     return 0;
   }
 
-  // A request may have no answer if its client has gone, if its controller was killed, or if it was in flight
-  // while its connection was being closed and was sent again.
+  // A request may remain unanswered if it was never sent, if its client abandoned it, if its controller was
+  // killed, or if it raced with the close of its connection and was sent again.
   void checkUnanswered(const std::string& reference, const RequestRecord& request) {
     if (!request.sent || request.answerCount > 0 || request.clientGone) return;
     eventIndex_ = request.lost ? request.lostEventIndex : events_.size();
     if (request.lost && request.lost->detail == "unsent") {
       ++report_.unsent;
-    } else if (wasLostWithController(request)) {
+    } else if (wasLostInKill(request)) {
       ++report_.killed;
     } else if (crossedClose(request)) {
       ++report_.crossedClose;
@@ -313,14 +318,14 @@
     }
   }
 
-  static TimePoint lostTime(const RequestRecord& request) {
+  static TimePoint lostAtOrMax(const RequestRecord& request) {
     return request.lost ? request.lost->observedAt : TimePoint::max();
   }
 
-  // Whether the request was sent before its controller was gone. The interval lasts from the kill until the
-  // process has exited, which may take a while, and its clients have noticed.
-  bool wasLostWithController(const RequestRecord& request) {
-    const TimePoint lostAt = lostTime(request);
+  // Returns whether the request was lost because its controller was killed. It may have been sent until the
+  // clients noticed the exit of the process, which can follow the SIGKILL with a delay.
+  bool wasLostInKill(const RequestRecord& request) {
+    const TimePoint lostAt = lostAtOrMax(request);
     for (const KillInterval& interval : processes_[request.sent->controller].killIntervals) {
       const TimePoint::duration waited =
           interval.exitedAt < lostAt ? cpuWait({Event::kTestProcess}, interval.exitedAt, lostAt) : 0s;
@@ -331,7 +336,7 @@
     return false;
   }
 
-  // Whether the request was sent just when its connection was closed, and was sent again.
+  // Returns whether the request raced with the close of its connection and was sent again.
   bool crossedClose(const RequestRecord& request) const {
     return request.lost && request.lost->detail == "closed" &&
            request.lost->notBefore <= request.sent->observedAt + options_.crossedCloseWindow &&
@@ -340,8 +345,8 @@
 
   static std::string describeUnanswered(const std::string& reference, const RequestRecord& request) {
     std::string text = reference + " (" + request.sent->detail + " at controller " +
-                       std::to_string(request.sent->controller) + ") has no answer: ";
-    if (!request.lost) return text + "it is open";
+                       std::to_string(request.sent->controller) + ") was not answered: ";
+    if (!request.lost) return text + "still open";
     const auto elapsed = duration_cast<milliseconds>(request.lost->observedAt - request.sent->observedAt);
     return text + request.lost->detail + " after " + std::to_string(elapsed.count()) + " ms";
   }
@@ -361,24 +366,25 @@
 
 }  // namespace
 
-const char* nameOf(Invariant rule) {
-  static constexpr std::array kNames{"one answer", "own rows", "runs once", "throttled unrun",
-                                     "gone",       "drains",   "exits",     "idle"};
-  return kNames[static_cast<std::size_t>(rule)];
+const char* nameOf(Invariant invariant) {
+  static constexpr std::array kNames{"one answer", "own rows", "no unsafe retry", "rejected not executed",
+                                     "gone",       "drains",   "exits",           "idle"};
+  return kNames[static_cast<std::size_t>(invariant)];
 }
 
 std::string InvariantReport::summary() const {
-  std::string text = std::to_string(requests) + " jobs, " + std::to_string(attempts) + " attempts, " +
-                     std::to_string(clientsGone) + " departed (" + std::to_string(attemptsAfterClientGone) +
-                     " attempts began after, at most " + std::to_string(maxDelayAfterClientGone.count()) +
-                     " ms), late " + std::to_string(lateAnswers) + ", crossed a close " +
-                     std::to_string(crossedClose) + ", killed " + std::to_string(killed) + ", unsent " +
-                     std::to_string(unsent) + "; cases:";
+  std::string text = std::to_string(requests) + " requests, " + std::to_string(attempts) + " attempts, " +
+                     std::to_string(clientsGone) + " abandoned (" + std::to_string(attemptsAfterClientGone) +
+                     " attempts began afterwards, at most " +
+                     std::to_string(maxDelayAfterClientGone.count()) + " ms later), late " +
+                     std::to_string(lateAnswers) + ", raced with a close " + std::to_string(crossedClose) +
+                     ", lost by a kill " + std::to_string(killed) + ", unsent " + std::to_string(unsent) +
+                     "; checks:";
   for (std::size_t index = 0; index < checkCounts.size(); ++index)
     text += std::string(index ? ", " : " ") + nameOf(static_cast<Invariant>(index)) + " " +
             std::to_string(checkCounts[index]);
   for (const Violation& violation : violations)
-    text += std::string("\n  BROKEN ") + nameOf(violation.invariant) + ": " + violation.description;
+    text += std::string("\n  VIOLATED ") + nameOf(violation.invariant) + ": " + violation.description;
   return text;
 }
 
--- a/src/fakes/load_generator.cpp
+++ b/src/fakes/load_generator.cpp
@@ -16,14 +16,14 @@
 using transport::TimePoint;
 
 constexpr std::size_t kMaxOpenPerConnection = 30;
-constexpr milliseconds kIdleTimeout{3500};  // Clients close a connection that they do not use.
-constexpr milliseconds kResendWindow{50};  // A request that was sent this short before a close is sent again.
+constexpr milliseconds kIdleTimeout{3500};  // After this time clients close an unused connection.
+constexpr milliseconds kResendWindow{50};   // A request sent less than this before a close is resent.
 constexpr milliseconds kConnectTimeout{2000};
 constexpr milliseconds kReceiveInterval{100};
 constexpr milliseconds kHeartbeatConnectTimeout{500};
 constexpr milliseconds kHeartbeatTimeout{1000};
-constexpr milliseconds kIdlePollInterval{10};  // While the rate is 0.
-constexpr std::size_t kNoRequest = static_cast<std::size_t>(-1);
+constexpr milliseconds kIdlePollInterval{10};  // Interval of checking the rate while it is 0.
+constexpr std::size_t kUnknownRequest = static_cast<std::size_t>(-1);
 
 const char* nameOf(Reply::Outcome outcome) {
   static constexpr std::array kNames{"done", "throttled", "cancelled", "exception", "good", "bad"};
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-// One connection to one controller, with the requests that are open on it.
+// One connection to a controller and the requests that are open on it.
 class LoadGenerator::ClientConnection {
  public:
   ClientConnection(LoadGenerator& generator, std::size_t controller)
@@ -41,8 +41,8 @@
   }
   ~ClientConnection() {
     std::erase(generator_.controllers_[controller_].connections, this);
-    // A recorded client closes the connection because of the late requests alone: for the other requests on
-    // it the client has gone.
+    // With an event log, only the late requests count as timed out when the client closes the connection; its
+    // other requests count as abandoned by the client.
     const bool isRecordedTimeout = generator_.eventLog_ && closeReason_ == CloseReason::timedOut;
     for (const auto& [sequence, request] : std::exchange(openRequests_, {})) {
       if (isRecordedTimeout && !isLate(request)) {
@@ -64,7 +64,7 @@
     lastUsedAt_ = generator_.scheduler_.now();
     const RequestProfile& profile = profileOf(request);
     const milliseconds duration = drawDuration(profile);
-    // The estimate that a request carries is the time that it takes.
+    // The declared cost of the request equals its execution time.
     thrift::Fields fields{{"service", profile.requestClass},
                           {"ref", generator_.requests_[request].reference},
                           {"allow", std::to_string(profile.timeout.count())},
@@ -88,21 +88,21 @@
     return connection_ && std::any_of(openRequests_.begin(), openRequests_.end(),
                                       [&](const auto& openRequest) { return openRequest.second == request; });
   }
-  bool depart(std::size_t request, AbandonMode departure) {
+  bool abandon(std::size_t request, AbandonMode mode) {
     if (closeReason_ != CloseReason::none) return false;
-    if (departure == AbandonMode::revoke) {
+    if (mode == AbandonMode::revoke) {
       revoke(request);
       return true;
     }
     if (connection_->unsentBytes() > 0) return false;
     isClosing_ = true;
-    if (departure == AbandonMode::halfClose) {
+    if (mode == AbandonMode::halfClose) {
       closeReason_ = CloseReason::halfClosed;
       ::shutdown(fd_, SHUT_WR);
       for (const auto& [sequence, item] : openRequests_) generator_.onClientGone(item, "half-closed");
       return true;
     }
-    closeReason_ = departure == AbandonMode::reset ? CloseReason::reset : CloseReason::closed;
+    closeReason_ = mode == AbandonMode::reset ? CloseReason::reset : CloseReason::closed;
     connection_->shutDown();
     return true;
   }
@@ -119,14 +119,14 @@
     if (!connectResult.descriptor) co_return;
     fd_ = connectResult.descriptor->fd();
     connection_.emplace(scheduler, std::move(connectResult.descriptor), 16 * 1024, 1 << 20,
-                        generator_.unsent_);
+                        generator_.outputBudget_);
     connection_->send(pendingOutput_);
     while (co_await waitForInput()) processReplies();
     if (closeReason_ != CloseReason::closed && closeReason_ != CloseReason::reset) co_return;
     const linger lingerOptions{1, 0};
     if (closeReason_ == CloseReason::reset)
       ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &lingerOptions, sizeof lingerOptions);
-    connection_.reset();  // Closes the socket: from now on the client is gone.
+    connection_.reset();  // Closes the socket, which is when the client is gone.
     for (const auto& [sequence, request] : std::exchange(openRequests_, {}))
       generator_.onClientGone(request, closeReason_ == CloseReason::reset ? "reset" : "closed");
   }
@@ -156,7 +156,7 @@
     generator_.onClientGone(request, "revoked");
   }
 
-  // Handles all complete replies of the input.
+  // Handles all complete replies in the input.
   void processReplies() {
     transport::InputBuffer& input = connection_->input();
     while (const auto length = thrift::readFrameLength(input.view())) {
@@ -179,24 +179,25 @@
     }
   }
 
-  // A reply to a request that is not open. It is legitimate only if the client abandoned the request.
+  // Handles a reply to a request that is not open. Such a reply is valid only if the client abandoned the
+  // request.
   void onUnexpectedReply(const Reply& reply) {
     const auto closedRequest = closedRequests_.find(reply.sequence);
     if (closedRequest == closedRequests_.end()) {
       ++generator_.counters_.unsolicitedAnswers;
-      generator_.recordEvent(Event::Kind::requestAnswered, kNoRequest, nameOf(reply.outcome));
+      generator_.recordEvent(Event::Kind::requestAnswered, kUnknownRequest, nameOf(reply.outcome));
       return;
     }
     if (!generator_.requests_[closedRequest->second].clientGone) ++generator_.counters_.duplicateAnswers;
     generator_.recordAnswer(closedRequest->second, reply);
   }
 
-  // Waits for input. Returns false if the connection is to be closed.
+  // Waits for input. Returns false if the caller must close the connection.
   transport::Task<bool> waitForInput() {
     for (;;) {
       const TimePoint now = generator_.scheduler_.now();
       if (openRequests_.empty() && now >= lastUsedAt_ + kIdleTimeout) co_return false;
-      // Past the tolerance the late requests count as lost.
+      // After the tolerance, late requests count as lost.
       if (!openRequests_.empty() && now >= earliestDeadline() + generator_.lateTolerance_) {
         if (closeReason_ == CloseReason::none) closeReason_ = CloseReason::timedOut;
         co_return false;
@@ -225,12 +226,13 @@
   LoadGenerator& generator_;
   const std::size_t controller_;
   std::optional<Connection> connection_;
-  std::deque<BufferSlice> pendingOutput_;  // Until the connection is established.
+  std::deque<BufferSlice> pendingOutput_;  // Sent once the connection is established.
   std::map<std::int32_t, std::size_t> openRequests_;
   std::map<std::int32_t, std::size_t> closedRequests_;  // Answered or revoked.
-  std::map<std::int32_t, std::uint64_t> endOffsets_;    // Where each request ends in the output.
+  // End of each request in the output stream, by sequence.
+  std::map<std::int32_t, std::uint64_t> endOffsets_;
   std::uint64_t bytesQueued_ = 0;
-  CloseReason closeReason_ = CloseReason::none;  // Why the client closes the connection, if it does.
+  CloseReason closeReason_ = CloseReason::none;  // `none` unless the client closes the connection.
   int fd_ = -1;                                  // Owned by `connection_`.
   std::int32_t sequence_ = 0;
   TimePoint lastUsedAt_{};
@@ -240,7 +242,7 @@
 LoadGenerator::LoadGenerator(transport::Scheduler& scheduler, transport::OutputBudget& outputBudget,
                              std::vector<transport::Address> addresses, std::uint64_t seed)
     : scheduler_(scheduler),
-      unsent_(outputBudget),
+      outputBudget_(outputBudget),
       random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
       lastReference_(seed << 32),
       tasks_(scheduler, [](const char* error) { std::fprintf(stderr, "load: %s\n", error); }) {
@@ -285,7 +287,7 @@
   return profiles_.empty() ? 0 : profiles_.size() - 1;
 }
 
-// Chooses controllers in turn and skips those that are not in service.
+// Sends to the next controller in round-robin order that is in service.
 void LoadGenerator::sendToNextController(std::size_t profile) {
   for (std::size_t tries = 0; tries < controllers_.size(); ++tries) {
     ++nextController_;
@@ -298,14 +300,14 @@
   }
 }
 
-// Heartbeats use a connection of their own. A controller is in service while it answers them as healthy.
+// Heartbeats use a separate connection. A controller is in service while it answers them as healthy.
 transport::Task<> LoadGenerator::runHeartbeats(std::size_t controller) {
   Controller& state = controllers_[controller];
   for (;;) {
     transport::ConnectResult connectResult =
         co_await transport::connect(scheduler_, state.address, scheduler_.now() + kHeartbeatConnectTimeout);
     if (connectResult.descriptor) {
-      Connection connection(scheduler_, std::move(connectResult.descriptor), 1024, 4096, unsent_);
+      Connection connection(scheduler_, std::move(connectResult.descriptor), 1024, 4096, outputBudget_);
       co_await exchangeHeartbeats(connection, state);
     }
     state.isInService = false;
@@ -315,7 +317,7 @@
   }
 }
 
-// Returns when the connection ended, when an answer is missing or incomplete, or when the clients are paused.
+// Returns when the connection ends, an answer is missing or incomplete, or the clients are paused.
 transport::Task<> LoadGenerator::exchangeHeartbeats(Connection& connection, Controller& controller) {
   for (std::int32_t sequence = 1; !isPaused_; ++sequence) {
     connection.send({BufferSlice(thrift::encodeHeartbeatCall(sequence))});
@@ -355,9 +357,9 @@
   return index;
 }
 
-bool LoadGenerator::abandonRequest(std::size_t request, AbandonMode departure) {
+bool LoadGenerator::abandonRequest(std::size_t request, AbandonMode mode) {
   for (ClientConnection* connection : controllers_[requests_[request].controller].connections)
-    if (connection->hasOpenRequest(request)) return connection->depart(request, departure);
+    if (connection->hasOpenRequest(request)) return connection->abandon(request, mode);
   return false;
 }
 
@@ -370,7 +372,7 @@
 void LoadGenerator::recordEvent(Event::Kind kind, std::size_t index, const char* detail, std::string body) {
   if (!eventLog_) return;
   Event event{.kind = kind, .detail = detail, .body = std::move(body)};
-  if (index != kNoRequest) {
+  if (index != kUnknownRequest) {
     event.reference = requests_[index].reference;
     event.controller = requests_[index].controller;
     event.timeout = profiles_[requests_[index].profile].timeout;
@@ -381,16 +383,17 @@
 
 void LoadGenerator::assignConnection(std::size_t request) {
   const std::size_t controller = requests_[request].controller;
-  ClientConnection* best = nullptr;
+  ClientConnection* leastLoaded = nullptr;
   for (ClientConnection* connection : controllers_[controller].connections)
-    if (connection->hasCapacity() && (!best || connection->openRequestCount() < best->openRequestCount()))
-      best = connection;
-  if (!best || best->openRequestCount() >= kMaxOpenPerConnection / 2) {
+    if (connection->hasCapacity() &&
+        (!leastLoaded || connection->openRequestCount() < leastLoaded->openRequestCount()))
+      leastLoaded = connection;
+  if (!leastLoaded || leastLoaded->openRequestCount() >= kMaxOpenPerConnection / 2) {
     auto connection = std::make_unique<ClientConnection>(*this, controller);
-    best = connection.get();
+    leastLoaded = connection.get();
     tasks_.spawn(runConnection(std::move(connection)));
   }
-  best->sendRequest(request);
+  leastLoaded->sendRequest(request);
 }
 
 transport::Task<> LoadGenerator::runConnection(std::unique_ptr<ClientConnection> connection) {
@@ -407,7 +410,7 @@
   --controllers_[request.controller].openRequests;
 }
 
-// No answer is expected any more.
+// Closes a request that the client abandoned; no answer is expected from now on.
 void LoadGenerator::onClientGone(std::size_t index, const char* reason) {
   Request& request = requests_[index];
   if (isDestroying_ || request.clientGone) return;
@@ -427,12 +430,12 @@
   recordAnswer(index, reply);
 }
 
-// The connection ended without an answer. A request that crossed the close of an idle connection is sent once
-// more on another one.
+// Handles a connection that ended without an answer. A request that raced with the close of an idle
+// connection is resent once on another connection.
 void LoadGenerator::onRequestLost(std::size_t index, const char* reason) {
   Request& request = requests_[index];
   if (isDestroying_ || request.clientGone) return;
-  if (!sendsOnce_ && !request.resent && scheduler_.now() - request.sentAt < kResendWindow) {
+  if (!isResendDisabled_ && !request.resent && scheduler_.now() - request.sentAt < kResendWindow) {
     request.resent = true;
     return assignConnection(index);
   }
--- a/src/fakes/load_generator.hpp
+++ b/src/fakes/load_generator.hpp
@@ -1,4 +1,4 @@
-// Clients of controllers, and the layer in front of the controllers that sends health checks.
+// Clients of controllers, and the load balancer in front of the controllers that sends health checks.
 #pragma once
 
 #include <array>
@@ -19,18 +19,19 @@
 using std::chrono::milliseconds;
 using Reply = protocol::thrift::Reply;
 
-/// Sends requests at a rate to the controllers that are in service, by their heartbeats, and records what
-/// becomes of each request.
+/// Sends requests at a given mean rate to the controllers that their heartbeats report as in service, and
+/// records the outcome of each request.
 class LoadGenerator {
  public:
-  /// A kind of request: its class and tenant as in the settings, and how long it takes on an engine.
+  /// Requests of one kind: class and tenant as in the settings, and the range of their execution time on an
+  /// engine.
   struct RequestProfile {
     std::string requestClass, tenant;
-    double weight = 1;  ///< Share of this profile, relative to the weights of the others.
+    double weight = 1;  ///< Share of the generated requests, relative to the other profiles.
     milliseconds minDuration{5}, maxDuration{30};
     milliseconds timeout{3000};
-    std::string extraScript{};  ///< Further words of the script for the fake engine.
-    unsigned tableGroup = 3;    ///< The group of tables that it reads.
+    std::string extraScript{};  ///< Additional assignments of the fake engine's script.
+    unsigned tableGroup = 3;    ///< The table group that the statement reads.
   };
   struct Request {
     std::string reference;
@@ -38,9 +39,9 @@
     std::size_t controller = 0;
     transport::TimePoint sentAt{};
     transport::TimePoint endedAt{};
-    unsigned answerCount = 0;  ///< More than one is a fault of the controller.
-    bool lost = false;         ///< Its connection or its time ended without an answer.
-    bool resent = false;       ///< It crossed a close and was sent a second time, as clients may do.
+    unsigned answerCount = 0;  ///< More than one answer is a fault of the controller.
+    bool lost = false;         ///< The connection ended or the client timed out without an answer.
+    bool resent = false;       ///< Raced with a close and was sent again, as clients may do.
     bool clientGone = false;
     Reply::Outcome outcome = Reply::Outcome::exception;
     std::optional<std::int64_t> retryAfterMs;
@@ -50,48 +51,49 @@
     std::uint64_t open = 0;
     std::uint64_t lost = 0;
     std::uint64_t duplicateAnswers = 0;
-    std::uint64_t unsolicitedAnswers = 0;             ///< Answers to no known request.
+    std::uint64_t unsolicitedAnswers = 0;             ///< Answers that match no request.
     std::array<std::uint64_t, 4> answersByOutcome{};  ///< Indexed by Reply::Outcome.
   };
-  /// The ways in which a client abandons a request.
+  /// How a client abandons a request.
   enum class AbandonMode { revoke, close, halfClose, reset };
 
-  /// Sends heartbeats to all addresses (the controllers, numbered from 0) from now on. The scheduler and the
-  /// output budget must outlive the generator.
-
+  /// Starts to send heartbeats to all `addresses`, which are those of the controllers, numbered from 0. The
+  /// scheduler and the output budget must outlive the generator.
   LoadGenerator(transport::Scheduler& scheduler, transport::OutputBudget& outputBudget,
                 std::vector<transport::Address> addresses, std::uint64_t seed);
   ~LoadGenerator();
 
-  /// Replaces the previous rate and profiles. With a rate of 0 only send() sends.
+  /// Replaces the rate and the profiles. With a rate of 0, requests are sent only by send() and resend().
   void start(double requestsPerSecond, std::vector<RequestProfile> profiles);
-  /// Sends no new requests; open ones continue.
+  /// Stops generating requests; open requests continue.
   void stop() { requestsPerSecond_ = 0; }
-  /// Sends one request now. Returns its index in requests().
+  /// Sends one request immediately. Returns its index in requests().
   std::size_t send(std::size_t profile, std::size_t controller);
   /// Sends a request again under a new reference. Returns the new index.
   std::size_t resend(std::size_t request, std::size_t controller);
-  /// Abandons a request, and except for a revoke all that are open on its connection. Returns false if the
-  /// request is not open or its connection is not established.
-  bool abandonRequest(std::size_t request, AbandonMode departure);
-  /// Closes all connections without open requests, also those of the heartbeats, until resumeClients().
+  /// Abandons a request. Every mode but `revoke` abandons all requests that are open on its connection.
+  /// Returns false if the request is not open, its connection is not established or is being closed, or,
+  /// except for `revoke`, output is still unsent.
+  bool abandonRequest(std::size_t request, AbandonMode mode);
+  /// Closes all connections without open requests, including those of the heartbeats. No heartbeats are sent
+  /// until resumeClients().
   void pauseClients();
   void resumeClients() { isPaused_ = false; }
 
   void setHeartbeatInterval(milliseconds interval) { heartbeatInterval_ = interval; }
-  /// With dedicated clients a request whose controller is not in service is not sent; otherwise it goes to
-  /// another controller.
+  /// With dedicated clients, a generated request whose controller is not in service is not sent; otherwise it
+  /// is sent to another controller.
   void setDedicatedClients(bool dedicated) { hasDedicatedClients_ = dedicated; }
-  /// Appends what becomes of requests to `events`, which must outlive the generator. Resending a request
-  /// whose connection ended is then left to the test.
+  /// Appends the events of all requests to `events`, which must outlive the generator. Also disables the
+  /// automatic resend: the test decides whether it resends a request whose connection ended.
   void recordTo(EventLog& events) {
     eventLog_ = &events;
-    sendsOnce_ = true;
+    isResendDisabled_ = true;
   }
-  /// How long after a request's timeout its client closes the connection.
+  /// Sets the time after a request timeout at which the client closes the connection.
   void setLateTolerance(milliseconds tolerance) { lateTolerance_ = tolerance; }
-  /// No request is sent a second time when its connection ends.
-  void disableResend() { sendsOnce_ = true; }
+  /// Disables the automatic resend of requests whose connection ended.
+  void disableResend() { isResendDisabled_ = true; }
 
   const Counters& counters() const { return counters_; }
   const std::deque<Request>& requests() const { return requests_; }
@@ -121,7 +123,7 @@
   void recordEvent(Event::Kind kind, std::size_t request, const char* detail, std::string body = {});
 
   transport::Scheduler& scheduler_;
-  transport::OutputBudget& unsent_;
+  transport::OutputBudget& outputBudget_;
   std::vector<Controller> controllers_;
   std::vector<RequestProfile> profiles_;
   double requestsPerSecond_ = 0;
@@ -132,10 +134,10 @@
   std::size_t nextController_ = 0;
   bool isDestroying_ = false;
   bool hasDedicatedClients_ = false;
-  bool sendsOnce_ = false;
+  bool isResendDisabled_ = false;
   bool isPaused_ = false;
   EventLog* eventLog_ = nullptr;
-  std::string retriedReference_{};  // Set while resend() sends: the reference of the repeated request.
+  std::string retriedReference_{};  // Reference of the request that resend() is repeating; otherwise empty.
   std::deque<Request> requests_;
   Counters counters_;
   transport::TaskGroup tasks_;
--- a/src/fakes/misbehaving_clients.hpp
+++ b/src/fakes/misbehaving_clients.hpp
@@ -8,16 +8,19 @@
 
 namespace paddletrack::fakes {
 
-/// Keeps `count` clients busy. Each connects again and again and sends noise, wrong lengths, truncated
-/// messages or nothing.
+/// Runs `count` clients. Each connects repeatedly and sends random bytes, wrong lengths, truncated messages,
+/// invalid fields or nothing.
 class MisbehavingClients {
  public:
   MisbehavingClients(transport::Scheduler& scheduler, transport::OutputBudget& outputBudget,
                      const transport::Address& target, unsigned count)
-      : scheduler_(scheduler), unsent_(outputBudget), target_(target), tasks_(scheduler, [](const char*) {}) {
+      : scheduler_(scheduler),
+        outputBudget_(outputBudget),
+        target_(target),
+        tasks_(scheduler, [](const char*) {}) {
     for (unsigned client = 0; client < count; ++client) tasks_.spawn(runClient());
   }
-  /// Connections that the target answered or closed.
+  /// Number of connections that the target answered or closed.
   std::uint64_t closedCount() const { return closedCount_; }
 
  private:
@@ -46,7 +49,7 @@
           co_await transport::connect(scheduler_, target_, scheduler_.now() + std::chrono::milliseconds(300));
       if (connectResult.descriptor) {
         transport::Connection connection(scheduler_, std::move(connectResult.descriptor), 1024, 8192,
-                                         unsent_);
+                                         outputBudget_);
         connection.send({transport::BufferSlice(nextMalformedInput())});
         const bool received = co_await connection.receive(scheduler_.now() + std::chrono::milliseconds(200));
         if (received || connection.readEnd() != transport::Connection::ReadEnd::none) ++closedCount_;
@@ -56,7 +59,7 @@
   }
 
   transport::Scheduler& scheduler_;
-  transport::OutputBudget& unsent_;
+  transport::OutputBudget& outputBudget_;
   const transport::Address target_;
   std::minstd_rand random_{11};
   std::uint64_t closedCount_ = 0;
--- a/src/fakes/server_process.cpp
+++ b/src/fakes/server_process.cpp
@@ -18,7 +18,8 @@
   const pid_t parent = ::getpid();
   pid_ = ::fork();
   if (pid_ == 0) {
-    // The child gets SIGTERM when its parent ends, also if the parent is killed and runs no destructor.
+    // The kernel sends SIGTERM to the child when the parent ends, even if the parent is killed and runs no
+    // destructors.
     if (::prctl(PR_SET_PDEATHSIG, SIGTERM) != 0 || ::getppid() != parent) ::_exit(127);
     sigset_t emptySet;
     sigemptyset(&emptySet);
--- a/src/fakes/server_process.hpp
+++ b/src/fakes/server_process.hpp
@@ -1,4 +1,4 @@
-// A controller as a child process.
+// Controller that runs as a child process.
 #pragma once
 
 #include <sys/types.h>
@@ -9,9 +9,9 @@
 
 namespace paddletrack::fakes {
 
-/// A child process that is started like an operator starts `paddletrack serve`, with its output appended to a
-/// log file. It is killed by the destructor if it still runs. The kernel sends it SIGTERM when its parent
-/// dies (PR_SET_PDEATHSIG), so that no controller outlives a load test that was killed.
+/// Child process that is started as an operator starts `paddletrack serve`. Its output is appended to a log
+/// file. The destructor kills the process with SIGKILL if it is still running. The kernel sends it SIGTERM
+/// when its parent dies (PR_SET_PDEATHSIG), so that no controller outlives a load test that was killed.
 class ServerProcess {
  public:
   ServerProcess(const std::string& program, const std::vector<std::string>& arguments,
@@ -21,7 +21,8 @@
   ~ServerProcess();
   pid_t pid() const { return pid_; }
   void sendSignal(int signalNumber) const;
-  /// The exit code, or 128 plus the signal that ended the process. Empty while it runs.
+  /// Returns the exit code, or 128 plus the number of the signal that ended the process; std::nullopt while
+  /// it is running.
   std::optional<int> exitCode();
 
  private:
--- a/src/fakes/tcp_fault_proxy.cpp
+++ b/src/fakes/tcp_fault_proxy.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 constexpr std::size_t kInputBytes = 16 * 1024;
-constexpr std::size_t kMaxBufferedBytes = 64 * 1024;  // Of one direction, before its sender has to wait.
-constexpr milliseconds kPollInterval{2};              // While a direction is blocked.
+constexpr std::size_t kMaxBufferedBytes = 64 * 1024;  // Per direction; beyond this the sender has to wait.
+constexpr milliseconds kPollInterval{2};  // Interval of checking whether a direction is still blocked.
 constexpr milliseconds kConnectTimeout{1000};
 constexpr milliseconds kDrainTimeout{5000};
 
-// Makes the kernel send a reset when the socket is closed.
+// Makes the kernel send a TCP reset when the socket is closed.
 void resetOnClose(int fd) {
   const linger lingerOptions{1, 0};
   ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &lingerOptions, sizeof lingerOptions);
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-// One connection through the proxy. `finished` is set when either side has ended.
+// Connection through the proxy. `finished` is set when either side has ended.
 struct TcpFaultProxy::ProxiedConnection {
   ProxiedConnection(TcpFaultProxy& owner, int clientFd, int serverFd)
       : proxy(owner), fds{clientFd, serverFd}, finished(owner.scheduler_) {
@@ -44,7 +44,7 @@
                              const transport::Address& listenAddress, const transport::Address& target,
                              std::uint64_t seed)
     : scheduler_(scheduler),
-      unsent_(outputBudget),
+      outputBudget_(outputBudget),
       target_(target),
       random_(seed),
       listener_(scheduler, listenAddress),
@@ -75,19 +75,20 @@
     ++counts_.connectFailures;
     co_return;
   }
-  ProxiedConnection pair(*this, accepted->fd(), connectResult.descriptor->fd());
-  transport::Connection client(scheduler_, std::move(accepted), kInputBytes, kMaxBufferedBytes, unsent_);
+  ProxiedConnection proxiedConnection(*this, accepted->fd(), connectResult.descriptor->fd());
+  transport::Connection client(scheduler_, std::move(accepted), kInputBytes, kMaxBufferedBytes,
+                               outputBudget_);
   transport::Connection server(scheduler_, std::move(connectResult.descriptor), kInputBytes,
-                               kMaxBufferedBytes, unsent_);
-  transport::TaskGroup directions(scheduler_, [&](const char*) { pair.finished.set(); });
-  directions.spawn(forwardStream(pair, client, server, forwardFaults, counts_.forwardBytes));
-  directions.spawn(forwardStream(pair, server, client, reverseFaults, counts_.reverseBytes));
-  co_await pair.finished.wait();
+                               kMaxBufferedBytes, outputBudget_);
+  transport::TaskGroup directions(scheduler_, [&](const char*) { proxiedConnection.finished.set(); });
+  directions.spawn(forwardStream(proxiedConnection, client, server, forwardFaults, counts_.forwardBytes));
+  directions.spawn(forwardStream(proxiedConnection, server, client, reverseFaults, counts_.reverseBytes));
+  co_await proxiedConnection.finished.wait();
 }
 
-transport::Task<> TcpFaultProxy::forwardStream(ProxiedConnection& pair, transport::Connection& source,
-                                               transport::Connection& sink, const NetworkFaults& faults,
-                                               std::uint64_t& bytes) {
+transport::Task<> TcpFaultProxy::forwardStream(ProxiedConnection& proxiedConnection,
+                                               transport::Connection& source, transport::Connection& sink,
+                                               const NetworkFaults& faults, std::uint64_t& bytes) {
   std::size_t forwardedBytes = 0;
   for (;;) {
     const bool received = co_await source.receive();
@@ -96,27 +97,28 @@
     if (const milliseconds delay = drawDelay(random_, faults); delay > milliseconds(0))
       co_await scheduler_.sleepUntil(scheduler_.now() + delay);
     std::string_view chunk = source.input().view();
-    const bool resetsHere =
+    const bool reachesResetLimit =
         faults.resetAfterBytes && forwardedBytes + chunk.size() >= *faults.resetAfterBytes;
-    if (resetsHere)
+    if (reachesResetLimit)
       chunk = chunk.substr(0, *faults.resetAfterBytes - std::min(forwardedBytes, *faults.resetAfterBytes));
     if (!chunk.empty()) sink.send({transport::BufferSlice(std::string(chunk))});
     forwardedBytes += chunk.size();
     bytes += chunk.size();
     source.input().consume(chunk.size());
-    co_await sink.waitUntilDrained(resetsHere ? 0 : kMaxBufferedBytes, scheduler_.now() + kDrainTimeout);
-    if (resetsHere) {
-      // The reset must not overtake what was written.
+    co_await sink.waitUntilDrained(reachesResetLimit ? 0 : kMaxBufferedBytes,
+                                   scheduler_.now() + kDrainTimeout);
+    if (reachesResetLimit) {
+      // Waits so that the reset does not overtake the data already written.
       co_await scheduler_.sleepUntil(scheduler_.now() + kPollInterval);
-      pair.reset();
+      proxiedConnection.reset();
       co_return;
     }
   }
   if (source.readEnd() == transport::Connection::ReadEnd::reset) {
-    pair.reset();
+    proxiedConnection.reset();
   } else {
     co_await sink.waitUntilDrained(0, scheduler_.now() + kDrainTimeout);
-    pair.finished.set();
+    proxiedConnection.finished.set();
   }
 }
 
--- a/src/fakes/tcp_fault_proxy.hpp
+++ b/src/fakes/tcp_fault_proxy.hpp
@@ -1,4 +1,4 @@
-// A TCP proxy that injects faults.
+// TCP proxy that injects faults.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace paddletrack::fakes {
 
-/// Sits between clients and one TCP listener. Random choices follow from the seed.
+/// Forwards connections from clients to one TCP listener. The seed determines all random draws.
 class TcpFaultProxy {
  public:
   struct Counts {
@@ -22,7 +22,7 @@
     std::uint64_t forwardBytes = 0;
     std::uint64_t reverseBytes = 0;
   };
-  static constexpr std::size_t kMaxConnections = 1024;  ///< Further ones are reset.
+  static constexpr std::size_t kMaxConnections = 1024;  ///< Connections beyond this limit are reset.
 
   TcpFaultProxy(transport::Scheduler& scheduler, transport::OutputBudget& outputBudget,
                 const transport::Address& listenAddress, const transport::Address& target,
@@ -34,20 +34,20 @@
   const Counts& counts() const { return counts_; }
   std::size_t openConnections() const { return connections_.size(); }
 
-  NetworkFaults forwardFaults;      ///< Towards the listener.
-  NetworkFaults reverseFaults;      ///< From the listener.
-  bool refusesConnections = false;  ///< New connections are reset at once.
+  NetworkFaults forwardFaults;      ///< From clients to the listener.
+  NetworkFaults reverseFaults;      ///< From the listener to clients.
+  bool refusesConnections = false;  ///< New connections are reset immediately.
 
  private:
   struct ProxiedConnection;
   transport::Task<> acceptConnections();
   transport::Task<> serve(std::unique_ptr<transport::Descriptor> accepted);
-  transport::Task<> forwardStream(ProxiedConnection& pair, transport::Connection& source,
+  transport::Task<> forwardStream(ProxiedConnection& proxiedConnection, transport::Connection& source,
                                   transport::Connection& sink, const NetworkFaults& faults,
                                   std::uint64_t& bytes);
 
   transport::Scheduler& scheduler_;
-  transport::OutputBudget& unsent_;
+  transport::OutputBudget& outputBudget_;
   const transport::Address target_;
   std::mt19937_64 random_;
   Counts counts_;
--- a/src/fakes/temporary_directory.cpp
+++ b/src/fakes/temporary_directory.cpp
@@ -9,7 +9,7 @@
 TemporaryDirectory::TemporaryDirectory() {
   const char* baseDirectory = std::getenv("TMPDIR");
   path_ = std::string(baseDirectory && *baseDirectory ? baseDirectory : "/tmp") + "/paddletrack.XXXXXX";
-  if (!::mkdtemp(path_.data())) throw std::runtime_error(path_ + ": can't be made");
+  if (!::mkdtemp(path_.data())) throw std::runtime_error(path_ + ": cannot create directory");
 }
 
 TemporaryDirectory::~TemporaryDirectory() {
--- a/src/fakes/temporary_directory.hpp
+++ b/src/fakes/temporary_directory.hpp
@@ -1,14 +1,14 @@
-// A directory for the files of one run.
+// Temporary directory for the files of one run.
 #pragma once
 
 #include <string>
 
 namespace paddletrack::fakes {
 
-/// Creates a directory under $TMPDIR (or /tmp) and removes it with its contents at the end of its scope.
+/// Creates a directory under $TMPDIR (or /tmp). The destructor removes it with its contents.
 class TemporaryDirectory {
  public:
-  /// Throws std::runtime_error if the directory can't be created.
+  /// Throws std::runtime_error if the directory cannot be created.
   TemporaryDirectory();
   TemporaryDirectory(const TemporaryDirectory&) = delete;
   TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
--- a/src/fakes/test_scheduler.hpp
+++ b/src/fakes/test_scheduler.hpp
@@ -1,4 +1,4 @@
-// A scheduler for tests and experiments that drive the loop themselves.
+// Scheduler for tests and load tests that drive the event loop themselves.
 #pragma once
 
 #include <chrono>
@@ -8,8 +8,8 @@
 
 namespace paddletrack::fakes {
 
-/// Runs the loop for a time or until a condition holds. Owns an output budget that is never exhausted in
-/// tests.
+/// Runs the event loop for a given time or until a condition holds. Owns an output budget that is large
+/// enough not to be exhausted in tests.
 struct TestScheduler : transport::Scheduler {
   void runFor(std::chrono::milliseconds duration) {
     transport::ScheduledCall timer(*this, [this] { stop(); });
@@ -17,7 +17,8 @@
     run();
   }
 
-  /// Returns whether `predicate` held before the timeout. It is evaluated every millisecond.
+  /// Runs the loop until `predicate`, which is evaluated every millisecond, holds. Returns false if it did
+  /// not hold by the timeout.
   bool runUntil(const std::function<bool()>& predicate,
                 std::chrono::milliseconds timeout = std::chrono::seconds(10)) {
     for (const transport::TimePoint deadline = now() + timeout; now() < deadline;
--- a/src/fakes/udp_fault_proxy.hpp
+++ b/src/fakes/udp_fault_proxy.hpp
@@ -1,4 +1,4 @@
-// A UDP proxy that injects faults.
+// UDP proxy that injects faults.
 #pragma once
 
 #include <cstdint>
@@ -11,12 +11,12 @@
 
 namespace paddletrack::fakes {
 
-/// Sits between two processes that talk by UDP. Random choices follow from the seed.
+/// Forwards datagrams between two processes. The seed determines all random draws.
 class UdpFaultProxy {
  public:
   struct Endpoint {
-    transport::Address boundAddress;  ///< The address to which the process itself is bound.
-    transport::Address proxyAddress;  ///< The address at which the other process finds it.
+    transport::Address boundAddress;  ///< The address to which the process binds its socket.
+    transport::Address proxyAddress;  ///< The address to which the other process sends.
   };
   struct Counts {
     std::uint64_t forwarded = 0;
@@ -24,7 +24,8 @@
     std::uint64_t duplicated = 0;
     std::uint64_t bytes = 0;
   };
-  static constexpr std::size_t kMaxInFlight = 4096;  ///< Delayed datagrams; further ones are dropped.
+  /// Delayed datagrams; beyond this limit datagrams are dropped.
+  static constexpr std::size_t kMaxInFlight = 4096;
 
   UdpFaultProxy(transport::Scheduler& scheduler, const Endpoint& first, const Endpoint& second,
                 std::uint64_t seed);
@@ -47,11 +48,12 @@
   void deliverDue();
 
   transport::Scheduler& scheduler_;
-  transport::DatagramSocket secondProxySocket_;  // Where the first process finds the second.
-  transport::DatagramSocket firstProxySocket_;   // Where the second process finds the first.
+  // The first process sends to this socket to reach the second.
+  transport::DatagramSocket secondProxySocket_;
+  transport::DatagramSocket firstProxySocket_;  // The second process sends to this socket to reach the first.
   std::mt19937_64 random_;
   Counts counts_;
-  std::multimap<transport::TimePoint, InFlightDatagram> inFlight_;  // By the time of delivery.
+  std::multimap<transport::TimePoint, InFlightDatagram> inFlight_;  // By delivery time.
   transport::ScheduledCall deliveryTimer_;
   transport::TaskGroup tasks_;
 };
--- a/src/fakes/udp_proxy_mesh.cpp
+++ b/src/fakes/udp_proxy_mesh.cpp
@@ -7,7 +7,7 @@
 
 constexpr unsigned kFirstHost = 100;
 constexpr unsigned kBoundPort = 17946;
-constexpr unsigned kProxyPort = 18000;  // Of observer 0.
+constexpr unsigned kProxyPort = 18000;  // For observer 0; the port increases with the number of the observer.
 
 std::string formatAddress(int subnet, unsigned host, unsigned port) {
   return "127.0." + std::to_string(subnet) + "." + std::to_string(host) + ":" + std::to_string(port);
--- a/src/fakes/unresponsive_listener.hpp
+++ b/src/fakes/unresponsive_listener.hpp
@@ -1,4 +1,4 @@
-// A listener that never accepts.
+// Listener that never accepts a connection.
 #pragma once
 
 #include <sys/socket.h>
@@ -11,19 +11,20 @@
 
 namespace paddletrack::fakes {
 
-/// A listener whose backlog is full, so that an attempt to connect to it gets no answer.
+/// Listener whose backlog is full, so that a connection attempt gets no answer. The constructor throws
+/// std::runtime_error if it cannot listen on `address`.
 class UnresponsiveListener {
  public:
   explicit UnresponsiveListener(const transport::Address& address) {
     const int listener = ::socket(address.family(), SOCK_STREAM | SOCK_CLOEXEC, 0);
-    const int on = 1;
+    const int reuseAddress = 1;
     sockets_.push_back(listener);
-    ::setsockopt(listener, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+    ::setsockopt(listener, SOL_SOCKET, SO_REUSEADDR, &reuseAddress, sizeof reuseAddress);
     if (::bind(listener, address.nativeHandle(), address.length()) != 0 || ::listen(listener, 0) != 0)
-      throw std::runtime_error("no mute listener");
+      throw std::runtime_error("cannot bind or listen on the address of the unresponsive listener");
     for (int index = 0; index < kBacklogConnections; ++index) {
       sockets_.push_back(::socket(address.family(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-      // Not blocking: only the pending connection is wanted, not its result.
+      // Does not block. The pending connection fills the backlog; its result does not matter.
       (void)!::connect(sockets_.back(), address.nativeHandle(), address.length());
     }
   }
--- a/tests/loadtest/trace_oracle_test.cpp
+++ b/tests/loadtest/trace_oracle_test.cpp
@@ -119,7 +119,7 @@
     trace.addAttempt(8, "a", 2);
     trace.addAttemptResult(10, 2, "200");
     trace.addEvent(11, Kind::requestAnswered, "a", "done");
-    EXPECT_EQ(trace.violatedRules(), firstResult == "503" || firstResult == "504" ? "" : "runs once")
+    EXPECT_EQ(trace.violatedRules(), firstResult == "503" || firstResult == "504" ? "" : "no unsafe retry")
         << firstResult;
     trace.events.front().detail = "report";  // An idempotent class.
     EXPECT_EQ(trace.violatedRules(), "") << firstResult;
@@ -130,7 +130,7 @@
   RunTrace trace;
   trace.addServedRequest("a", 0, 1);
   trace.events.back().detail = "throttled";
-  EXPECT_EQ(trace.violatedRules(), "throttled unrun");
+  EXPECT_EQ(trace.violatedRules(), "rejected not executed");
 }
 
 TEST(TraceOracle, ReportsViolationWhenAttemptStartsAfterClientHasGone) {
