--- a/src/gossip/load_publisher.cpp
+++ b/src/gossip/load_publisher.cpp
@@ -44,25 +44,25 @@
   nextHeartbeatAt_ = now + kHeartbeatInterval;
   for (auto published = publishedLoads_.begin(); published != publishedLoads_.end();) {
     const bool isStillListed = engines.contains(published->first);
-    if (!isStillListed) store_.remove(now, kLoad, published->first);
+    if (!isStillListed) store_.remove(now, kLoadTopic, published->first);
     published = isStillListed ? std::next(published) : publishedLoads_.erase(published);
   }
   for (const auto& [name, load] : engines) {
     const auto published = publishedLoads_.find(name);
     if (published == publishedLoads_.end() ? load == Load{} : published->second == load) continue;
-    if (name.empty() || store_.put(now, kLoad, name, packValue(load)) != Store::PutResult::stored) {
+    if (name.empty() || store_.put(now, kLoadTopic, name, packValue(load)) != Store::PutResult::stored) {
       ++omittedCount_;
     } else {
       publishedLoads_[name] = load;
     }
   }
-  store_.put(now, kLoad, "", packValue(total));
+  store_.put(now, kLoadTopic, "", packValue(total));
 }
 
 FleetLoad sumFleetLoad(const Store& store, Duration now) {
   FleetLoad fleet;
   std::set<std::string> liveOwners;
-  store.visitEntries(now, kLoad,
+  store.visitEntries(now, kLoadTopic,
                      [&](const std::string& owner, std::uint64_t, const std::string& key,
                          const std::string& value, Duration age) {
                        const std::optional<Load> load = unpackValue(value);
--- a/src/gossip/load_publisher.hpp
+++ b/src/gossip/load_publisher.hpp
@@ -1,6 +1,6 @@
-// Each controller publishes its own load under the topic kLoad, and sums the load of the fleet. There is an
-// entry per engine, with the engine's name as its key, and one with the key "" for the total. A value is the
-// MessagePack array [threads in flight, attempts since the start]. The total is also the controller's
+// Each controller publishes its own load under the topic kLoadTopic, and sums the load of the fleet. There is
+// an entry per engine, with the engine's name as its key, and one with the key "" for the total. A value is
+// the MessagePack array [threads in flight, attempts since the start]. The total is also the controller's
 // heartbeat: it is rewritten every kHeartbeatInterval, even if it is unchanged.
 #pragma once
 
--- a/src/gossip/store.hpp
+++ b/src/gossip/store.hpp
@@ -31,11 +31,11 @@
 
 /// Subject of an entry. Each topic has one writer in the program. 0 is reserved for a membership protocol.
 using Topic = std::uint8_t;
-constexpr Topic kMembership = 0;
-constexpr Topic kLoad = 1;
-constexpr Topic kCounterfactual = 2;
-constexpr Topic kRebalance = 3;
-constexpr Topic kWarmup = 4;
+constexpr Topic kMembershipTopic = 0;
+constexpr Topic kLoadTopic = 1;
+constexpr Topic kCounterfactualTopic = 2;
+constexpr Topic kRebalanceTopic = 3;
+constexpr Topic kWarmupTopic = 4;
 constexpr Topic kMaxTopic = 63;
 
 /// One entry on the wire. Keys and values are arbitrary bytes that only the topic's code interprets.
--- a/src/loadtest/gossip.cpp
+++ b/src/loadtest/gossip.cpp
@@ -183,11 +183,11 @@
     // The last member is new. The others hold a load record and tables of different sizes.
     if (value + 1 == memberCount) continue;
     for (std::size_t row = 0; row * 1000 < largestTableBytes * value / memberCount; ++row, ++tableRowCount)
-      fleet[value].store->put(now, kRebalance, std::to_string(row), std::string(1000, 'r'));
+      fleet[value].store->put(now, kRebalanceTopic, std::to_string(row), std::string(1000, 'r'));
   }
   const auto publishLoadRecords = [&] {
     for (Member& controllerClient : fleet)
-      controllerClient.store->put(now, kLoad, "", std::to_string(now.count()));
+      controllerClient.store->put(now, kLoadTopic, "", std::to_string(now.count()));
   };
   publishLoadRecords();
   for (unsigned receiver = 0; receiver + 1 < memberCount; ++receiver)
@@ -225,12 +225,13 @@
     }
     for (unsigned item = 0; item < memberCount; ++item)
       if (now >= fleet[item].gossip->nextRoundAt()) deliver(item, fleet[item].gossip->runRound(now));
-    const std::size_t loadRecordCount = countRecords(kLoad);
+    const std::size_t loadRecordCount = countRecords(kLoadTopic);
     const double elapsedMs = std::chrono::duration<double, std::milli>(now).count();
     if (result.halfMs == 0 && 2 * loadRecordCount >= memberCount) result.halfMs = elapsedMs;
     if (result.ninetyPercentMs == 0 && 10 * loadRecordCount >= 9 * memberCount)
       result.ninetyPercentMs = elapsedMs;
-    if (now % 10ms == 0us && loadRecordCount == memberCount && countRecords(kRebalance) == tableRowCount) {
+    if (now % 10ms == 0us && loadRecordCount == memberCount &&
+        countRecords(kRebalanceTopic) == tableRowCount) {
       result.allMs = elapsedMs;
       break;
     }
--- a/src/program/counterfactual_reporter.cpp
+++ b/src/program/counterfactual_reporter.cpp
@@ -22,7 +22,7 @@
   refresh();
   if (publishedVersion_ == version_) return;
   publishedVersion_ = version_;
-  counterfactual::publishEntries(store, now, gossip::kCounterfactual, entries_);
+  counterfactual::publishEntries(store, now, gossip::kCounterfactualTopic, entries_);
 }
 
 admin::CounterfactualStatus CounterfactualReporter::status(const gossip::Store* store, Duration now) {
@@ -41,7 +41,7 @@
   status.local = counterfactual::buildReport(localStatistics);
   if (store != nullptr)
     status.fleet = counterfactual::buildReport(
-        counterfactual::collectFleetStatistics(*store, now, gossip::kCounterfactual));
+        counterfactual::collectFleetStatistics(*store, now, gossip::kCounterfactualTopic));
   return status;
 }
 
--- a/src/rebalance/codec.cpp
+++ b/src/rebalance/codec.cpp
@@ -9,7 +9,7 @@
 namespace paddletrack::rebalance {
 namespace {
 
-constexpr gossip::Topic kTopic = gossip::kRebalance;
+constexpr gossip::Topic kTopic = gossip::kRebalanceTopic;
 constexpr std::size_t kMaxItemsPerValue = 4096;
 constexpr std::size_t kMaxValueDepth = 6;
 constexpr std::size_t kChunkOverhead = 16;  // bytes of a value beside its items, at most
--- a/src/rebalance/codec.hpp
+++ b/src/rebalance/codec.hpp
@@ -1,5 +1,5 @@
-// Encodes and decodes the gossip entries of rebalancing (topic kRebalance): reports and promises. No I/O; the
-// caller passes the time.
+// Encodes and decodes the gossip entries of rebalancing (topic kRebalanceTopic): reports and promises. No
+// I/O; the caller passes the time.
 #pragma once
 
 #include <optional>
--- a/tests/gossip/gossip_cluster_test.cpp
+++ b/tests/gossip/gossip_cluster_test.cpp
@@ -173,7 +173,7 @@
   transport::DatagramSocket rawSocket(fleet, transport::Address("127.0.166.99:17946"), 2000);
   const std::uint64_t target = transport::packAddress(fleet.mesh.boundAddress(0));
   gossip::Delta oldDelta;
-  oldDelta.ownerDeltas.push_back({"c2", 1, 0, 1, {{gossip::kLoad, "", "\x92\x01\x02", 1, false, 0s}}});
+  oldDelta.ownerDeltas.push_back({"c2", 1, 0, 1, {{gossip::kLoadTopic, "", "\x92\x01\x02", 1, false, 0s}}});
   std::string datagram = gossip::encode(gossip::Message(oldDelta), "test", "stranger");
   EXPECT_TRUE(rawSocket.send(target, datagram));
   datagram[1] = '\x02';
--- a/tests/gossip/gossip_store_test.cpp
+++ b/tests/gossip/gossip_store_test.cpp
@@ -57,13 +57,14 @@
 
 TEST(GossipStore, ReplicatesPutsAndRemovals) {
   Store firstStore = makeStore("one"), secondStore = makeStore("two");
-  EXPECT_EQ(firstStore.put(1s, kLoad, "a", "1"), Store::PutResult::stored);
-  EXPECT_EQ(firstStore.put(2s, kLoad, "a", "2"), Store::PutResult::stored);
-  EXPECT_EQ(firstStore.put(2s, kCounterfactual, "b", std::string("\0\xff", 2)), Store::PutResult::stored);
+  EXPECT_EQ(firstStore.put(1s, kLoadTopic, "a", "1"), Store::PutResult::stored);
+  EXPECT_EQ(firstStore.put(2s, kLoadTopic, "a", "2"), Store::PutResult::stored);
+  EXPECT_EQ(firstStore.put(2s, kCounterfactualTopic, "b", std::string("\0\xff", 2)),
+            Store::PutResult::stored);
   synchronize(3s, firstStore, secondStore);
   EXPECT_EQ(snapshotOf(secondStore, 3s), snapshotOf(firstStore, 3s));
   std::size_t seen = 0;
-  secondStore.visitEntries(4s, kLoad,
+  secondStore.visitEntries(4s, kLoadTopic,
                            [&](const std::string& owner, std::uint64_t, const std::string& key,
                                const std::string& value, Duration age) {
                              ++seen;
@@ -71,8 +72,8 @@
                              EXPECT_EQ(age, 2s);
                            });
   EXPECT_EQ(seen, 1U);
-  EXPECT_TRUE(firstStore.remove(4s, kLoad, "a"));
-  EXPECT_FALSE(firstStore.remove(4s, kLoad, "a"));
+  EXPECT_TRUE(firstStore.remove(4s, kLoadTopic, "a"));
+  EXPECT_FALSE(firstStore.remove(4s, kLoadTopic, "a"));
   synchronize(5s, firstStore, secondStore);
   EXPECT_EQ(snapshotOf(secondStore, 5s).size(), 1U);
   EXPECT_EQ(secondStore.merge(5s, fullDelta(firstStore, 5s)).applied, 0U);
@@ -526,7 +527,7 @@
   EXPECT_EQ(sum.liveControllers, 1U);
   EXPECT_EQ(sum.total, (Load{3, 16}));
   EXPECT_EQ(sum.engines.at("e1"), (Load{3, 16}));
-  firstStore.put(9s, kLoad, "e9", "nonsense");
+  firstStore.put(9s, kLoadTopic, "e9", "nonsense");
   EXPECT_EQ(sumFleetLoad(firstStore, 9s).unreadableValues, 1U);
 }
 
