--- a/src/gossip/codec.hpp
+++ b/src/gossip/codec.hpp
@@ -4,7 +4,7 @@
 // kind:
 //   digest and delta request: [first, last, closed, [[owner, generation, version]...]]
 //   delta: [more, [[owner, generation, from, upTo, [[topic, key, value, version, gone, age in ms]...]]...]]
-// Field names of the wire that differ from the code: generation is `incarnation`, closed is
+// Wire field names that differ from the names in the code: generation is `incarnation`, closed is
 // `rejectsNewOwners`, more is `truncated`, gone is `removed`.
 #pragma once
 
@@ -32,11 +32,11 @@
 constexpr std::uint8_t kFirstReservedKind = 16;
 constexpr std::uint8_t kLastReservedKind = 31;
 
-/// Asks a peer for a delta. It lists only owners of which the peer has newer entries.
+/// Requests a delta from a peer. Lists only the owners of which the peer has newer entries.
 struct DeltaRequest : Digest {};
 using Message = std::variant<Digest, Delta, DeltaRequest>;
 
-/// Why a datagram, or the entries in it, were dropped.
+/// Reason why a datagram, or the entries in it, were dropped.
 enum class DropReason : std::uint8_t {
   otherCluster,        // sent by a controller of another cluster
   unsupportedVersion,  // its wire version is not kWireVersion
@@ -47,24 +47,26 @@
   ownMessage,          // its sender has this controller's name
   stale,               // all of its entries are of an earlier incarnation or have expired
   storeFull,           // the store has no space for its entries
-  rateLimited,         // the answer budget of the period is used up
+  rateLimited,         // the answer budget of the period is exhausted
   sendFailed,          // the kernel rejected an outgoing datagram
 };
 constexpr std::size_t kDropReasonCount = 11;
-/// Returns the name of the reason in log lines and metrics.
+/// Returns the name of the reason as log lines and metrics show it.
 const char* nameOf(DropReason reason);
 
 /// Either the message or the reason why it is dropped.
 struct DecodeResult {
   std::variant<Message, DropReason> content = DropReason::malformed;
   std::string sender;  // empty if the datagram was dropped before its sender was read
-  std::string detail;  // explains a drop in the log: what was expected
+  std::string detail;  // cause of a drop for the log, empty for a message
 };
 
-/// Encodes a message. The result fits kMaxDatagramBytes if the message was built within the limits above.
+/// Encodes a message. The result has at most kMaxDatagramBytes if the message was built within the limits
+/// above.
 std::string encode(const Message& message, std::string_view cluster, std::string_view sender);
-/// Decodes a datagram of this cluster. Never throws; its memory use is bounded by a small multiple of the
-/// datagram's size. `ownName` identifies messages that carry this controller's own name.
+/// Decodes a datagram and checks that it belongs to `cluster`. Never throws; its memory use is bounded by a
+/// small multiple of the datagram's size. `ownName` identifies messages that carry this controller's own
+/// name.
 DecodeResult decode(std::string_view datagram, std::string_view cluster, std::string_view ownName) noexcept;
 
 }  // namespace paddletrack::gossip
--- a/src/gossip/gossip_protocol.cpp
+++ b/src/gossip/gossip_protocol.cpp
@@ -5,16 +5,16 @@
 namespace paddletrack::gossip {
 namespace {
 
-// Digest datagrams sent to a peer in one round.
+// Maximum number of digest datagrams sent to a peer in one round.
 constexpr std::size_t kDigestsPerRound = 4;
-// Minimum time between two follow-up rounds with peers that announced further entries.
+// Minimum time between two follow-up rounds, which fetch the entries that did not fit the previous answer.
 constexpr Duration kFollowUpDelay{std::chrono::milliseconds(10)};
-// Expired entries are collected this many times per retention duration.
+// Number of times per retention duration that expired entries are removed.
 constexpr int kCleanupsPerRetention = 64;
-// Messages answered in one period, even if few peers are configured.
+// Lower limit of the answer budget of a period, which applies if few peers are configured.
 constexpr std::size_t kMinAnswersPerPeriod = 64;
 
-// Updates the digest of a peer to its state after it has merged `delta`.
+// Advances the digest of a peer to its state after the peer has merged `delta`.
 void advanceDigest(Digest& peerDigest, const Delta& delta) {
   for (const Delta::OwnerDelta& ownerDelta : delta.ownerDeltas) {
     const auto existing = std::ranges::find_if(peerDigest.ownerVersions, [&](const auto& ownerVersion) {
@@ -79,7 +79,8 @@
   }
 }
 
-// Appends a burst of deltas. Each is built on the assumption that the peer receives those before it.
+// Appends up to kMaxAnswerDatagrams deltas. Each is built on the assumption that the peer receives the
+// preceding ones.
 void GossipProtocol::appendDeltas(Duration now, PeerAddress destination, Digest peerDigest,
                                   OutboundMessages& messages) const {
   for (std::size_t index = 0; index < kMaxAnswerDatagrams; ++index) {
--- a/src/gossip/gossip_protocol.hpp
+++ b/src/gossip/gossip_protocol.hpp
@@ -1,5 +1,6 @@
-// The anti-entropy protocol on top of the store: which peer this controller reconciles with, when, and how it
-// answers messages. It performs no I/O and reads no clock; its randomness comes from a seed.
+// The anti-entropy protocol on top of the store: selects the peer for each reconciliation round, schedules
+// the rounds and answers messages. It performs no I/O and reads no clock; its random numbers come from a
+// seed.
 #pragma once
 
 #include <array>
@@ -18,9 +19,9 @@
 using PeerAddress = std::uint64_t;
 
 struct GossipOptions {
-  std::vector<PeerAddress> peers;                   // peers to start rounds with; answers go to any sender
+  std::vector<PeerAddress> peers;  // peers to start rounds with; messages of any sender are answered
   Duration period{std::chrono::milliseconds(200)};  // mean time between rounds
-  std::uint64_t seed = 0;                           // of the order of peers and of the jitter
+  std::uint64_t seed = 0;                           // of the random numbers for the peer order and the jitter
 };
 
 /// State machine of the protocol. All times are durations on the store's clock and never go back.
@@ -38,12 +39,13 @@
   /// Time at which runRound() is due: once per period with a jitter of a fourth, and earlier if a peer
   /// announced that it has further entries.
   Duration nextRoundAt() const { return std::min(nextRoundAt_, followUp_ ? followUp_->dueAt : nextRoundAt_); }
-  /// Runs what is due: expires and renews entries, and sends digests to the next peer. Peers come in shuffled
-  /// order, so that each peer is contacted at least once in 2 * peers - 1 rounds.
+  /// Performs the actions that are due: removes expired entries, renews own entries, and builds digests for
+  /// the next peer. Peers are contacted in shuffled cycles, so that each peer is contacted at least once in
+  /// 2 * peers - 1 rounds.
   OutboundMessages runRound(Duration now);
-  /// Datagrams of one answer.
+  /// Maximum number of datagrams in one answer.
   static constexpr std::size_t kMaxAnswerDatagrams = 8;
-  /// Messages answered in one period, per configured peer.
+  /// Answer budget of one period in messages, per configured peer.
   static constexpr std::size_t kAnswersPerPeer = 4;
   /// Handles a decoded message and returns the answers. A digest is answered with the entries that the sender
   /// lacks and a request for those that it has; a delta request with the entries; a delta is merged. Messages
@@ -53,7 +55,7 @@
 
   void countDrop(DropReason reason) { ++dropCounts_[static_cast<std::size_t>(reason)]; }
   std::uint64_t dropCount(DropReason reason) const { return dropCounts_[static_cast<std::size_t>(reason)]; }
-  /// How often a peer held a later incarnation of this controller's own name.
+  /// Number of times that a peer held a later incarnation of this controller's own name.
   std::uint64_t incarnationConflicts() const { return incarnationConflicts_; }
   struct LastMessage {
     Duration receivedAt{0};
@@ -78,7 +80,7 @@
   const GossipOptions options_;
   std::mt19937_64 randomEngine_;
   std::vector<PeerAddress> remainingPeers_;  // not contacted yet in this cycle; the next one is at the back
-  std::string nextDigestStart_;  // first owner of the next digest, where one digest does not hold all owners
+  std::string nextDigestStart_;  // first owner of the next digest; empty if it starts with the first owner
   Duration nextRoundAt_{0};
   struct FollowUp {
     PeerAddress peer = 0;
--- a/src/gossip/gossip_transport.cpp
+++ b/src/gossip/gossip_transport.cpp
@@ -7,7 +7,7 @@
 namespace paddletrack::gossip {
 namespace {
 
-// Datagrams handled in a row before the receive loop yields to the scheduler's other tasks.
+// Number of datagrams that the receive loop handles before it yields to the other tasks of the scheduler.
 constexpr int kMaxDatagramsPerBurst = 16;
 
 transport::DatagramSocket openSocket(transport::Scheduler& scheduler,
@@ -17,7 +17,7 @@
   } catch (const std::system_error& error) {
     throw SocketOpenError(
         "share.listen: " + transport::formatPackedAddress(transport::packAddress(listenAddress)) + ": " +
-        error.what() + "; give it an address of this machine and a port that nobody has");
+        error.what() + "; set it to an address of this machine and an unused port");
   }
 }
 
@@ -62,7 +62,7 @@
   ++traffic_.datagramsIn;
   traffic_.bytesIn += datagram.bytes.size();
   if (datagram.isTruncated) {
-    recordDrop(DropReason::oversized, datagram.sender, "longer than a datagram may be");
+    recordDrop(DropReason::oversized, datagram.sender, "exceeds the maximum datagram size");
     return;
   }
   const DecodeResult decoded = decode(datagram.bytes, cluster_, store_.owner());
@@ -73,12 +73,13 @@
   const std::uint64_t previousIncarnation = store_.incarnation();
   send(gossipProtocol_.onMessage(now(), datagram.sender, decoded.sender, std::get<Message>(decoded.content)));
   if (store_.incarnation() != previousIncarnation)
-    logger_.warning(
-        "share",
-        "another process wrote as " + store_.owner() + " with a later generation; this one goes on with " +
-            std::to_string(store_.incarnation()) +
-            ". Once, it was this one before a clock went back; again and again, two have one name",
-        {{"generation", std::to_string(store_.incarnation())}});
+    logger_.warning("share",
+                    "a peer holds entries of " + store_.owner() +
+                        " with a later generation; continuing with generation " +
+                        std::to_string(store_.incarnation()) +
+                        ". A single occurrence means that the clock of this machine went back; "
+                        "repeated occurrences mean that two processes use this name",
+                    {{"generation", std::to_string(store_.incarnation())}});
   roundTimer_.runAt(startedAt_ + gossipProtocol_.nextRoundAt());
 }
 
@@ -107,8 +108,10 @@
 void GossipTransport::recordDrop(DropReason reason, std::uint64_t source, const std::string& detail) {
   gossipProtocol_.countDrop(reason);
   const std::string peerName = transport::formatPackedAddress(source);
-  logger_.debug("share", std::string("dropped, ") + nameOf(reason) + ", " + peerName + ": " + detail,
-                {{"reason", nameOf(reason)}, {"address", peerName}});
+  logger_.debug(
+      "share",
+      std::string("datagram dropped, reason ") + nameOf(reason) + ", peer " + peerName + ": " + detail,
+      {{"reason", nameOf(reason)}, {"address", peerName}});
 }
 
 }  // namespace paddletrack::gossip
--- a/src/gossip/gossip_transport.hpp
+++ b/src/gossip/gossip_transport.hpp
@@ -1,4 +1,4 @@
-// Carries the messages of GossipProtocol over one UDP socket (IPv4) and counts the traffic.
+// Sends and receives the messages of GossipProtocol over one UDP socket (IPv4) and counts the traffic.
 #pragma once
 
 #include <functional>
@@ -35,9 +35,9 @@
                   const Logger& logger);
 
   Store& store() { return store_; }
-  /// Time since the start: the clock of the store and the protocol.
+  /// Time since the start, which is the clock of the store and the protocol.
   Duration now() const;
-  /// Adds a function that is called before each round. Writers of entries publish in it.
+  /// Adds a function that is called before each round, in which components publish their entries.
   void addBeforeRoundHook(std::function<void(Duration now)> hook) {
     beforeRoundHooks_.push_back(std::move(hook));
   }
--- a/src/gossip/load_publisher.cpp
+++ b/src/gossip/load_publisher.cpp
@@ -8,7 +8,7 @@
 namespace paddletrack::gossip {
 namespace {
 
-std::string packValue(const Load& load) {
+std::string encodeLoad(const Load& load) {
   msgpack::sbuffer buffer(24);
   msgpack::packer<msgpack::sbuffer> packer(buffer);
   packer.pack_array(2);
@@ -17,12 +17,12 @@
   return {buffer.data(), buffer.size()};
 }
 
-bool isNumberInRange(const msgpack::object& object) {
+bool isValidCounter(const msgpack::object& object) {
   return object.type == msgpack::type::POSITIVE_INTEGER && object.via.u64 < kNumberLimit;
 }
 
-// Values come from other controllers: std::nullopt if one is not in the expected format.
-std::optional<Load> unpackValue(const std::string& value) {
+// Returns std::nullopt if the value, which may come from another controller, is not in the expected format.
+std::optional<Load> decodeLoad(const std::string& value) {
   try {
     const msgpack::object_handle handle = msgpack::unpack(value.data(), value.size(), nullptr, nullptr,
                                                           msgpack::unpack_limit(2, 0, 0, 0, 0, 2));
@@ -30,7 +30,7 @@
     if (object.type != msgpack::type::ARRAY || object.via.array.size != 2) return std::nullopt;
     const msgpack::object& threads = object.via.array.ptr[0];
     const msgpack::object& attempts = object.via.array.ptr[1];
-    if (!isNumberInRange(threads) || !isNumberInRange(attempts)) return std::nullopt;
+    if (!isValidCounter(threads) || !isValidCounter(attempts)) return std::nullopt;
     return Load{threads.via.u64, attempts.via.u64};
   } catch (const std::exception&) {
     return std::nullopt;
@@ -50,13 +50,13 @@
   for (const auto& [name, load] : engines) {
     const auto published = publishedLoads_.find(name);
     if (published == publishedLoads_.end() ? load == Load{} : published->second == load) continue;
-    if (name.empty() || store_.put(now, kLoadTopic, name, packValue(load)) != Store::PutResult::stored) {
+    if (name.empty() || store_.put(now, kLoadTopic, name, encodeLoad(load)) != Store::PutResult::stored) {
       ++omittedCount_;
     } else {
       publishedLoads_[name] = load;
     }
   }
-  store_.put(now, kLoadTopic, "", packValue(total));
+  store_.put(now, kLoadTopic, "", encodeLoad(total));
 }
 
 FleetLoad sumFleetLoad(const Store& store, Duration now) {
@@ -65,12 +65,13 @@
   store.visitEntries(now, kLoadTopic,
                      [&](const std::string& owner, std::uint64_t, const std::string& key,
                          const std::string& value, Duration age) {
-                       const std::optional<Load> load = unpackValue(value);
+                       const std::optional<Load> load = decodeLoad(value);
                        if (!load) {
                          ++fleet.unreadableValues;
                          return;
                        }
-                       // Keys are visited in order, so that an owner's heartbeat "" precedes its engines.
+                       // Keys are visited in order, so that the heartbeat of an owner (key "") precedes its
+                       // engines.
                        if (key.empty()) {
                          ++fleet.controllers;
                          if (age <= FleetLoad::kLivenessTimeout) liveOwners.insert(owner);
--- a/src/gossip/load_publisher.hpp
+++ b/src/gossip/load_publisher.hpp
@@ -1,7 +1,7 @@
 // Each controller publishes its own load under the topic kLoadTopic, and sums the load of the fleet. There is
 // an entry per engine, with the engine's name as its key, and one with the key "" for the total. A value is
-// the MessagePack array [threads in flight, attempts since the start]. The total is also the controller's
-// heartbeat: it is rewritten every kHeartbeatInterval, even if it is unchanged.
+// the MessagePack array [threads in flight, attempts since the controller's start]. The total is also the
+// controller's heartbeat: it is rewritten every kHeartbeatInterval, even if it is unchanged.
 #pragma once
 
 #include <map>
@@ -12,10 +12,10 @@
 
 namespace paddletrack::gossip {
 
-/// Load that one controller, or the fleet, places on an engine or on all engines.
+/// Load of one controller or of the fleet on one engine or on all engines.
 struct Load {
   std::uint64_t threadsInFlight = 0;  // engine threads used by attempts in flight
-  std::uint64_t attempts = 0;         // attempts started since the start of the controller
+  std::uint64_t attempts = 0;         // attempts started since the controller started
   bool operator==(const Load&) const = default;
 };
 
--- a/src/gossip/store.cpp
+++ b/src/gossip/store.cpp
@@ -9,12 +9,12 @@
 
 Store::Store(StoreOptions options) : options_(std::move(options)), incarnation_(options_.incarnation) {
   if (options_.owner.empty() || options_.owner.size() > kMaxOwnerBytes)
-    throw std::invalid_argument("owner: 1 to " + std::to_string(kMaxOwnerBytes) + " bytes are expected");
-  if (!isValidNumber(incarnation_)) throw std::invalid_argument("generation: from 1 to 2^62 - 1 is expected");
-  if (options_.retentionDuration <= Duration{0}) throw std::invalid_argument("keep: more than 0 is expected");
+    throw std::invalid_argument("owner: must have 1 to " + std::to_string(kMaxOwnerBytes) + " bytes");
+  if (!isValidNumber(incarnation_)) throw std::invalid_argument("generation: must be from 1 to 2^62 - 1");
+  if (options_.retentionDuration <= Duration{0}) throw std::invalid_argument("keep: must be above 0");
   if (options_.maxBytes < 2 * kMaxBytesPerOwner)
-    throw std::invalid_argument("mostBytes: at least " + std::to_string(2 * kMaxBytesPerOwner) +
-                                " is expected");
+    throw std::invalid_argument("mostBytes: must be at least " + std::to_string(2 * kMaxBytesPerOwner) +
+                                " bytes");
   owners_[options_.owner].incarnation = incarnation_;
 }
 
@@ -59,9 +59,9 @@
   }
 }
 
-// ---- the table of entries ---------------------------------------------------------------------------------
+// ---- entry table ------------------------------------------------------------------------------------------
 
-// Entries with version 0 were just created and are not part of the counters yet.
+// An entry with version 0 was just created and is not included in the counters yet.
 void Store::writeEntry(OwnerState& owner, EntryMap::iterator position, std::string_view value, bool removed,
                        std::uint64_t version, Duration writtenAt) {
   Entry& entry = position->second;
@@ -72,7 +72,7 @@
   } else {
     const auto [begin, end] = owner.byVersion.equal_range(entry.version);
     owner.byVersion.erase(
-        std::find_if(begin, end, [&](const auto& item) { return item.second == position; }));
+        std::find_if(begin, end, [&](const auto& indexEntry) { return indexEntry.second == position; }));
   }
   owner.bytes = owner.bytes - entry.value.size() + value.size();
   totalBytes_ = totalBytes_ - entry.value.size() + value.size();
@@ -83,7 +83,8 @@
 
 void Store::eraseEntry(OwnerState& owner, EntryMap::iterator entry) {
   const auto [begin, end] = owner.byVersion.equal_range(entry->second.version);
-  owner.byVersion.erase(std::find_if(begin, end, [&](const auto& item) { return item.second == entry; }));
+  owner.byVersion.erase(
+      std::find_if(begin, end, [&](const auto& indexEntry) { return indexEntry.second == entry; }));
   const std::size_t erasedBytes = entryBytes(entry->first.second.size(), entry->second.value.size());
   owner.bytes -= erasedBytes;
   totalBytes_ -= erasedBytes;
@@ -108,11 +109,12 @@
          std::min(otherOwnersBytes, options_.maxBytes - kMaxBytesPerOwner);
 }
 
-// Only owners without an entry younger than half of the retention duration may be evicted.
-Store::OwnerMap::const_iterator Store::findStalestOwner(Duration now, std::string_view requester) const {
+// Only owners without an entry younger than half of the retention duration may be evicted. Returns the end of
+// the map if there is none.
+Store::OwnerMap::const_iterator Store::findStalestOwner(Duration now, std::string_view excludedOwner) const {
   auto stalest = owners_.end();
   for (auto candidate = owners_.begin(); candidate != owners_.end(); ++candidate) {
-    if (candidate->first == options_.owner || candidate->first == requester ||
+    if (candidate->first == options_.owner || candidate->first == excludedOwner ||
         now - candidate->second.newestEntryAt < options_.retentionDuration / 2)
       continue;
     if (stalest == owners_.end() || candidate->second.newestEntryAt < stalest->second.newestEntryAt)
@@ -121,9 +123,9 @@
   return stalest;
 }
 
-bool Store::evictToFit(Duration now, std::string_view requester, std::size_t bytes, bool addsOwner) {
+bool Store::evictToFit(Duration now, std::string_view excludedOwner, std::size_t bytes, bool addsOwner) {
   while (freeBytes() < bytes || (addsOwner && owners_.size() >= kMaxOwners)) {
-    const auto stalestOwner = findStalestOwner(now, requester);
+    const auto stalestOwner = findStalestOwner(now, excludedOwner);
     if (stalestOwner == owners_.end()) return false;
     clearOwner(owners_.find(stalestOwner->first)->second);
     owners_.erase(stalestOwner);
@@ -152,8 +154,8 @@
   return previousCount - entryCount_;
 }
 
-// A peer holds a later incarnation of this name: this machine's clock went back, or another process uses the
-// name.
+// Called when a peer holds a later incarnation of this controller's name, because this machine's clock went
+// back or another process uses the name.
 void Store::startNewIncarnation(std::uint64_t previousIncarnation) {
   if (!isValidNumber(previousIncarnation + 1)) return;
   incarnation_ = previousIncarnation + 1;
--- a/src/gossip/store.hpp
+++ b/src/gossip/store.hpp
@@ -1,4 +1,4 @@
-// State that the controllers of a fleet share: versioned entries, each written only by its owner and
+// Replicated state of the controllers of a fleet: versioned entries, each written only by its owner and
 // replicated by digests and deltas (scuttlebutt reconciliation: van Renesse, Dumitriu, Gough, Thomas, 2008).
 // The store performs no I/O and reads no clock; `now` is the time since this controller's start and never
 // goes back. See docs/share.md.
@@ -21,15 +21,16 @@
 constexpr std::size_t kMaxOwnerBytes = 64;
 constexpr std::size_t kMaxKeyBytes = 64;
 constexpr std::size_t kMaxValueBytes = 1024;
-/// Memory that an entry takes in addition to its key and its value.
+/// Memory that an entry uses in addition to its key and its value, in bytes.
 constexpr std::size_t kEntryOverheadBytes = 160;
-/// Limit of the entries of one owner, overhead included.
+/// Size limit of the entries of one owner, overhead included.
 constexpr std::size_t kMaxBytesPerOwner = std::size_t{256} * 1024;
 constexpr std::size_t kMaxOwners = 1024;
 /// Incarnations and versions are below this number.
 constexpr std::uint64_t kNumberLimit = std::uint64_t{1} << 62;
 
-/// Subject of an entry. Each topic has one writer in the program. 0 is reserved for a membership protocol.
+/// Category of an entry. Each topic is written by one component of the program. 0 is reserved for a
+/// membership protocol.
 using Topic = std::uint8_t;
 constexpr Topic kMembershipTopic = 0;
 constexpr Topic kLoadTopic = 1;
@@ -43,13 +44,13 @@
   Topic topic = 0;
   std::string key;
   std::string value;
-  std::uint64_t version = 0;  // from 1 on; counts all writes of an owner in one incarnation
-  bool removed = false;       // a tombstone, whose value is empty
+  std::uint64_t version = 0;  // from 1; counts all writes of an owner in one incarnation
+  bool removed = false;       // whether it is a tombstone, whose value is empty
   Duration age{0};            // since its owner wrote or renewed it, summed over all controllers that held it
 };
 
-/// Versions that a controller holds of the owners whose names are from `firstOwner` to `lastOwner`. An owner
-/// in that range that is not listed is not known to it. Empty bounds mean no bound.
+/// Versions that a controller holds of the owners whose names are from `firstOwner` to `lastOwner`. An
+/// owner in that range that is not listed is unknown to the controller. An empty bound means no bound.
 struct Digest {
   struct OwnerVersion {
     std::string owner;
@@ -234,8 +235,8 @@
   void eraseEntry(OwnerState& owner, EntryMap::iterator entry);
   void clearOwner(OwnerState& owner);
   std::size_t freeBytes() const;  // space for the entries of other owners
-  bool evictToFit(Duration now, std::string_view requester, std::size_t bytes, bool addsOwner);
-  OwnerMap::const_iterator findStalestOwner(Duration now, std::string_view requester) const;
+  bool evictToFit(Duration now, std::string_view excludedOwner, std::size_t bytes, bool addsOwner);
+  OwnerMap::const_iterator findStalestOwner(Duration now, std::string_view excludedOwner) const;
   bool rejectsNewOwners(Duration now) const;
   // Begins a new incarnation, and returns true, if a peer holds a later state of this owner than this store.
   bool resolveIncarnationConflict(std::uint64_t peerIncarnation, std::uint64_t peerVersion);
--- a/src/gossip/store_reconciliation.cpp
+++ b/src/gossip/store_reconciliation.cpp
@@ -29,8 +29,8 @@
   return digest;
 }
 
-// `owner` may lack entries at the peer from `fromVersion` on. That includes entries beyond a gap, which
-// `contiguousVersion` does not cover, and a newer incarnation without entries.
+// Adds `owner` if the peer, which holds its entries up to `fromVersion`, lacks later ones. These include
+// entries beyond a gap, which `contiguousVersion` does not cover, and a newer incarnation without entries.
 void Store::addIfMissing(std::vector<MissingEntries>& missing, OwnerMap::const_iterator owner,
                          std::uint64_t fromVersion, PeerKnowledge peerKnowledge) {
   const auto& byVersion = owner->second.byVersion;
@@ -97,7 +97,7 @@
   return delta;
 }
 
-// Adds the owner's entries in the order of their versions as far as they fit, and their size to `usedBytes`.
+// Adds the owner's entries by ascending version as far as they fit, and adds their size to `usedBytes`.
 // Sets `delta.truncated` if they do not all fit.
 void Store::appendOwnerDelta(Duration now, const MissingEntries& missing, std::size_t maxBytes,
                              std::size_t& usedBytes, Delta& delta) const {
@@ -143,9 +143,9 @@
     }
     const auto known = owners_.find(peerVersion.owner);
     const bool isKnown = known != owners_.end();
-    const bool isWanted =
+    const bool isRequested =
         isKnown ? isOlderThan(known->second, peerVersion) : !rejectsNew && peerVersion.version != 0;
-    if (!isWanted) continue;
+    if (!isRequested) continue;
     usedBytes += peerVersion.owner.size() + kOwnerVersionOverheadBytes;
     if (usedBytes > maxBytes) break;
     request.ownerVersions.push_back({peerVersion.owner, isKnown ? known->second.incarnation : 0,
@@ -250,8 +250,8 @@
 
 bool Store::supersedes(const EntryUpdate& update, const Entry& entry) {
   if (update.version != entry.version) return update.version > entry.version;
-  // Two values have one version only if two processes write under one name. The greater value wins, so that
-  // all controllers converge to the same one.
+  // Two values have the same version only if two processes use the same name. The greater value wins, so that
+  // all controllers converge to the same value.
   return std::pair(update.removed, std::string_view(update.value)) >
          std::pair(entry.removed, std::string_view(entry.value));
 }
@@ -279,7 +279,7 @@
   const std::size_t addedBytes = newBytes > previousBytes ? newBytes - previousBytes : 0;
   if (ownerState.bytes + addedBytes > kMaxBytesPerOwner ||
       !evictToFit(now, owner->first, addedBytes, false)) {
-    // The existing value is known to be superseded, so that readers must not see it any longer.
+    // The existing value is known to be superseded, so readers must no longer see it.
     if (exists) eraseEntry(ownerState, existing);
     ++result.rejected;
     return;
--- a/tests/gossip/gossip_cluster_test.cpp
+++ b/tests/gossip/gossip_cluster_test.cpp
@@ -1,4 +1,4 @@
-// Gossip between processes of the program with faults between them.
+// Gossip between controller processes whose network has faults.
 #include "fakes/gossip_cluster.hpp"
 
 #include <gtest/gtest.h>
@@ -34,11 +34,12 @@
     std::ifstream file(fleet.logPath(member));
     return std::string(std::istreambuf_iterator<char>(file), {});
   }
-  // Milliseconds until each of the members has this sum of the fleet's requests; -1 if it never did.
+  // Returns the milliseconds until all of the members count this number of requests in the fleet, or -1 if
+  // they do not within the timeout.
   double convergenceMs(const std::vector<unsigned>& members, std::uint64_t expectedRequests,
                        milliseconds timeout = 8s) {
     const auto elapsed = GossipCluster::waitForMembers(
-        members, [&](unsigned value) { return fleetRequestCount(value) == expectedRequests; }, timeout);
+        members, [&](unsigned member) { return fleetRequestCount(member) == expectedRequests; }, timeout);
     return elapsed ? std::chrono::duration<double, std::milli>(*elapsed).count() : -1;
   }
   std::uint64_t droppedCount(unsigned member, const char* reason) {
@@ -61,11 +62,11 @@
   EXPECT_EQ(fleet.fleetRequestCount(1), 7U);  // each side has only its own updates
   EXPECT_EQ(fleet.fleetRequestCount(4), 13U);
   fleet.mesh.heal();
-  const double elapsedMs = fleet.convergenceMs(fleet.allMembers(), 17);
-  RecordProperty("healed_ms", std::to_string(elapsedMs));
-  EXPECT_GE(elapsedMs, 0);
-  EXPECT_LT(elapsedMs, 4000);  // 40 periods, which allows for a loaded machine
-  for (const unsigned allMember : fleet.allMembers()) EXPECT_EQ(fleet.droppedCount(allMember, "broken"), 0U);
+  const double healedMs = fleet.convergenceMs(fleet.allMembers(), 17);
+  RecordProperty("healed_ms", std::to_string(healedMs));
+  EXPECT_GE(healedMs, 0);
+  EXPECT_LT(healedMs, 4000);  // 40 periods, which leaves room for a loaded machine
+  for (const unsigned member : fleet.allMembers()) EXPECT_EQ(fleet.droppedCount(member, "broken"), 0U);
 }
 
 TEST(GossipCluster, RelaysThroughThirdMemberWhenOneDirectionIsCut) {
@@ -75,7 +76,8 @@
   fleet.runRequests(0, 5);
   fleet.runRequests(1, 6);
   EXPECT_GE(fleet.convergenceMs(fleet.allMembers(), 11), 0);
-  // All datagrams of one member are lost. The others continue without its updates and get them afterwards.
+  // All datagrams of member 0 are lost. The others converge without its updates and receive them after the
+  // network has healed.
   fleet.mesh.faultsBetween(0, 2).blocked = true;
   fleet.runFor(200ms);
   fleet.runRequests(0, 7);
@@ -103,14 +105,14 @@
     sum += 1 + round;
   }
   EXPECT_GE(fleet.convergenceMs(fleet.allMembers(), sum), 0);
-  for (const unsigned allMember : fleet.allMembers()) {
-    const auto status = fleet.gossipStatus(allMember);
+  for (const unsigned member : fleet.allMembers()) {
+    const auto status = fleet.gossipStatus(member);
     EXPECT_EQ(status["owners"], 4);
     EXPECT_EQ(status["fleet"]["live"], 4);
-    std::uint64_t byEngine = 0;
+    std::uint64_t engineAttempts = 0;
     for (const auto& [name, load] : status["fleet"]["engines"].items())
-      byEngine += load["jobs"].get<std::uint64_t>();
-    EXPECT_EQ(byEngine, sum);
+      engineAttempts += load["jobs"].get<std::uint64_t>();
+    EXPECT_EQ(engineAttempts, sum);
   }
 }
 
@@ -123,7 +125,7 @@
   const auto generation = fleet.gossipStatus(1)["generation"].get<std::uint64_t>();
   fleet.sendSignal(1, SIGKILL);
   fleet.runFor(300ms);
-  EXPECT_EQ(fleet.fleetRequestCount(0), 9U);  // the entries of a dead member remain until they expire
+  EXPECT_EQ(fleet.fleetRequestCount(0), 9U);  // the entries of a killed member remain until they expire
   fleet.fleet.startController(1);
   ASSERT_TRUE(fleet.TestScheduler::runUntil(
       [&] { return fleet.loadGenerator.isInService(1) && fleet.memberCount(1) == 3; }));
@@ -142,17 +144,17 @@
   fleet.sendSignal(2, SIGSTOP);
   fleet.runRequests(0, 4);
   EXPECT_GE(fleet.convergenceMs({0, 1}, 7), 0);
-  const auto hasLiveCount = [&](unsigned value, int count) {
-    return fleet.gossipStatus(value)["fleet"]["live"] == count;
+  const auto hasLiveCount = [&](unsigned member, int count) {
+    return fleet.gossipStatus(member)["fleet"]["live"] == count;
   };
   EXPECT_TRUE(fleet.GossipCluster::waitForMembers(
-      {0, 1}, [&](unsigned value) { return hasLiveCount(value, 2); }, 8s));
+      {0, 1}, [&](unsigned member) { return hasLiveCount(member, 2); }, 8s));
   EXPECT_EQ(fleet.fleetRequestCount(0), 7U);
   fleet.runRequests(0, 1);
   fleet.sendSignal(2, SIGCONT);
   EXPECT_GE(fleet.convergenceMs(fleet.allMembers(), 8), 0);
   EXPECT_TRUE(fleet.GossipCluster::waitForMembers(
-      fleet.allMembers(), [&](unsigned value) { return hasLiveCount(value, 3); }, 8s));
+      fleet.allMembers(), [&](unsigned member) { return hasLiveCount(member, 3); }, 8s));
   EXPECT_EQ(fleet.gossipStatus(2)["later_lives"], 0);
 }
 
@@ -161,13 +163,13 @@
     options.clusterOf = [](unsigned member) { return std::string(member == 2 ? "another" : "test"); };
   });
   ASSERT_TRUE(fleet.GossipCluster::waitForMembers(
-      {0, 1}, [&](unsigned value) { return fleet.memberCount(value) == 2; }, 20s))
+      {0, 1}, [&](unsigned member) { return fleet.memberCount(member) == 2; }, 20s))
       << fleet.readLog(0);
   fleet.runRequests(0, 3);
   fleet.runRequests(2, 50);
   EXPECT_GE(fleet.convergenceMs({0, 1}, 3), 0);
   EXPECT_TRUE(fleet.GossipCluster::waitForMembers(
-      {0, 1, 2}, [&](unsigned value) { return fleet.droppedCount(value, "foreign") > 0; }, 8s));
+      {0, 1, 2}, [&](unsigned member) { return fleet.droppedCount(member, "foreign") > 0; }, 8s));
   EXPECT_EQ(fleet.memberCount(2), 1U);
 
   transport::DatagramSocket rawSocket(fleet, transport::Address("127.0.166.99:17946"), 2000);
@@ -186,9 +188,9 @@
   EXPECT_TRUE(rawSocket.send(target, std::string(1900, '\x91')));
   std::mt19937 generator(5);
   for (int index = 0; index < 500; ++index) {
-    std::string noise(generator() % 1400, '\0');
-    for (char& byte : noise) byte = static_cast<char>(generator());
-    EXPECT_TRUE(rawSocket.send(target, noise));
+    std::string randomBytes(generator() % 1400, '\0');
+    for (char& byte : randomBytes) byte = static_cast<char>(generator());
+    EXPECT_TRUE(rawSocket.send(target, randomBytes));
     if (index % 50 == 49) fleet.runFor(20ms);
   }
   for (const char* reason : {"old", "version", "reserved", "unknown", "own", "oversized"})
@@ -202,33 +204,34 @@
 }
 
 TEST(GossipCluster, ExitsNamingAddressWhenListenAddressIsInUse) {
-  TestScheduler loop;
-  const transport::DatagramSocket occupyingSocket(loop, transport::Address("127.0.169.1:17946"), 100);
+  TestScheduler scheduler;
+  const transport::DatagramSocket occupyingSocket(scheduler, transport::Address("127.0.169.1:17946"), 100);
   FakeFleetOptions options;
   options.program = PADDLETRACK_PROGRAM;
   options.subnet = 169;
   options.operatorConfig = "share { listen = \"127.0.169.1:17946\" }\n";
-  FakeFleet site(loop, loop.outputBudget, options);
-  ASSERT_TRUE(loop.runUntil([&] { return site.controller(0).exitCode().has_value(); }));
-  EXPECT_EQ(site.controller(0).exitCode(), 1);
-  std::ifstream file(site.logPath(0));
-  const std::string logText(std::istreambuf_iterator<char>(file), {});
-  EXPECT_NE(logText.find("share.listen: 127.0.169.1:17946: bind: Address already in use; give it"),
+  FakeFleet fleet(scheduler, scheduler.outputBudget, options);
+  ASSERT_TRUE(scheduler.runUntil([&] { return fleet.controller(0).exitCode().has_value(); }));
+  EXPECT_EQ(fleet.controller(0).exitCode(), 1);
+  std::ifstream file(fleet.logPath(0));
+  const std::string logContent(std::istreambuf_iterator<char>(file), {});
+  EXPECT_NE(logContent.find("share.listen: 127.0.169.1:17946: bind: Address already in use; set it"),
             std::string::npos)
-      << logText;
+      << logContent;
 }
 
 TEST(GossipCluster, OmitsGossipStatusWhenNotConfigured) {
-  TestScheduler loop;
+  TestScheduler scheduler;
   FakeFleetOptions options;
   options.program = PADDLETRACK_PROGRAM;
   options.subnet = 167;
-  FakeFleet site(loop, loop.outputBudget, options);
+  FakeFleet fleet(scheduler, scheduler.outputBudget, options);
   GossipCluster::Json status;
-  EXPECT_TRUE(loop.runUntil([&] {
-    AdminConnection adminConnection(loop, loop.outputBudget, site.adminSocketPath(0));
+  EXPECT_TRUE(scheduler.runUntil([&] {
+    AdminConnection adminConnection(scheduler, scheduler.outputBudget, fleet.adminSocketPath(0));
     adminConnection.send("{\"v\":1,\"id\":1,\"do\":\"status\"}\n");
-    loop.runUntil([&] { return !adminConnection.receivedLines.empty() || adminConnection.isClosed; }, 1s);
+    scheduler.runUntil([&] { return !adminConnection.receivedLines.empty() || adminConnection.isClosed; },
+                       1s);
     if (adminConnection.receivedLines.empty()) return false;
     status = GossipCluster::Json::parse(adminConnection.receivedLines.front())["status"];
     return true;
--- a/tests/gossip/gossip_store_test.cpp
+++ b/tests/gossip/gossip_store_test.cpp
@@ -1,4 +1,4 @@
-// Gossip without a network: the store, its reconciliation, the wire format, and the protocol's schedule.
+// Tests of gossip without a network: the store, its reconciliation, the wire format, and the protocol.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -19,10 +19,10 @@
 
 using namespace std::chrono_literals;
 
-Store makeStore(const std::string& owner, std::uint64_t generation = 1, Duration retention = 10min) {
+Store makeStore(const std::string& owner, std::uint64_t incarnation = 1, Duration retention = 10min) {
   StoreOptions options;
   options.owner = owner;
-  options.incarnation = generation;
+  options.incarnation = incarnation;
   options.retentionDuration = retention;
   return Store(options);
 }
@@ -33,14 +33,14 @@
   for (Topic topic = 0; topic <= kMaxTopic; ++topic)
     store.visitEntries(
         now, topic,
-        [&](const std::string& owner, std::uint64_t generation, const std::string& key,
-            const std::string& value, Duration) { snapshot.emplace(owner, generation, topic, key, value); });
+        [&](const std::string& owner, std::uint64_t incarnation, const std::string& key,
+            const std::string& value, Duration) { snapshot.emplace(owner, incarnation, topic, key, value); });
   return snapshot;
 }
-// Without the entries that only the owner may write.
+// Omits the entries of `excludedOwner`.
 StoreSnapshot snapshotOf(const Store& store, Duration now, const std::string& excludedOwner) {
   StoreSnapshot snapshot = snapshotOf(store, now);
-  std::erase_if(snapshot, [&](const auto& item) { return std::get<0>(item) == excludedOwner; });
+  std::erase_if(snapshot, [&](const auto& entry) { return std::get<0>(entry) == excludedOwner; });
   return snapshot;
 }
 
@@ -52,7 +52,7 @@
     if (delta.ownerDeltas.empty()) return;
     target.merge(now, delta);
   }
-  FAIL() << "it does not come to an end";
+  FAIL() << "synchronization did not finish within 1000 rounds";
 }
 
 TEST(GossipStore, ReplicatesPutsAndRemovals) {
@@ -63,15 +63,15 @@
             Store::PutResult::stored);
   synchronize(3s, firstStore, secondStore);
   EXPECT_EQ(snapshotOf(secondStore, 3s), snapshotOf(firstStore, 3s));
-  std::size_t seen = 0;
+  std::size_t visitedCount = 0;
   secondStore.visitEntries(4s, kLoadTopic,
                            [&](const std::string& owner, std::uint64_t, const std::string& key,
                                const std::string& value, Duration age) {
-                             ++seen;
+                             ++visitedCount;
                              EXPECT_EQ(owner + key + value, "onea2");
                              EXPECT_EQ(age, 2s);
                            });
-  EXPECT_EQ(seen, 1U);
+  EXPECT_EQ(visitedCount, 1U);
   EXPECT_TRUE(firstStore.remove(4s, kLoadTopic, "a"));
   EXPECT_FALSE(firstStore.remove(4s, kLoadTopic, "a"));
   synchronize(5s, firstStore, secondStore);
@@ -91,7 +91,7 @@
   EXPECT_GT(entryCount, 200);
   EXPECT_EQ(firstStore.put(0s, 1, "more", std::string(kMaxValueBytes, 'v')), Store::PutResult::ownerFull);
   EXPECT_EQ(firstStore.put(0s, 1, "0", std::string(kMaxValueBytes, 'w')),
-            Store::PutResult::stored);  // it replaces the previous value
+            Store::PutResult::stored);  // replaces the previous value
   EXPECT_LE(firstStore.totalBytes(), kMaxBytesPerOwner);
   EXPECT_EQ(firstStore.entryCount(), static_cast<std::size_t>(entryCount));
   EXPECT_THROW(makeStore(""), std::invalid_argument);
@@ -120,12 +120,12 @@
   Store earlier = makeStore("one", 9), secondStore = makeStore("two");
   earlier.put(0s, 1, "a", "old");
   synchronize(0s, earlier, secondStore);
-  Store later = makeStore("one", 4);  // its clock went back
+  Store later = makeStore("one", 4);  // the clock went back
   later.put(1s, 1, "a", "new");
   synchronize(1s, later, secondStore);
   EXPECT_EQ(snapshotOf(secondStore, 1s), (StoreSnapshot{{"one", 9, 1, "a", "old"}}));
   later.buildDeltaRequest(1s, secondStore.buildDigest(1s, {}, kUnlimitedBytes),
-                          kUnlimitedBytes);  // it learns of its earlier incarnation
+                          kUnlimitedBytes);  // the digest shows the later incarnation
   EXPECT_EQ(later.incarnation(), 10U);
   synchronize(1s, later, secondStore);
   EXPECT_EQ(snapshotOf(secondStore, 1s), (StoreSnapshot{{"one", 10, 1, "a", "new"}}));
@@ -139,21 +139,22 @@
         thirdStore = makeStore("three", 1, 60s);
   firstStore.put(0s, 1, "a", "1");
   synchronize(50s, firstStore, secondStore);
-  synchronize(55s, secondStore, thirdStore);  // the age is transferred
+  synchronize(55s, secondStore, thirdStore);  // the age is replicated
   EXPECT_EQ(snapshotOf(thirdStore, 59s).size(), 1U);
   EXPECT_EQ(snapshotOf(thirdStore, 60s).size(), 0U);
   EXPECT_EQ(thirdStore.evictExpired(60s), 1U);
   EXPECT_EQ(thirdStore.ownerCount(), 1U);
-  synchronize(60s, secondStore, thirdStore);  // it has not evicted the entry yet
+  synchronize(60s, secondStore, thirdStore);  // the second store has not removed the entry yet
   EXPECT_EQ(thirdStore.entryCount(), 0U);
   EXPECT_EQ(secondStore.evictExpired(60s), 1U);
-  firstStore.renewEntries(60s);  // late, because its process was stopped; the entry was not written meanwhile
+  firstStore.renewEntries(
+      60s);  // late, because the process was stopped; no write renewed the entry meanwhile
   synchronize(61s, firstStore, secondStore);
   EXPECT_EQ(snapshotOf(secondStore, 61s), (StoreSnapshot{{"one", 1, 1, "a", "1"}}));
-  const std::uint64_t changes = secondStore.changeCount();
+  const std::uint64_t previousChangeCount = secondStore.changeCount();
   firstStore.renewEntries(90s);
   synchronize(90s, firstStore, secondStore);
-  EXPECT_EQ(secondStore.changeCount(), changes);  // renewed, not changed
+  EXPECT_EQ(secondStore.changeCount(), previousChangeCount);  // renewed, not changed
   EXPECT_EQ(snapshotOf(secondStore, 119s).size(), 1U);
 }
 
@@ -165,10 +166,11 @@
   Store ownStore(options);
   ownStore.put(0s, 1, "mine", "1");
   const std::string value(kMaxValueBytes, 'v');
-  const auto mergeOwner = [&](const std::string& name, Duration at, int entries) {
+  const auto mergeOwner = [&](const std::string& name, Duration writtenAt, int entryCount) {
     Store otherStore = makeStore(name, 1, 100s);
-    for (int index = 0; index < entries; ++index) otherStore.put(at, 1, std::to_string(index), value);
-    return ownStore.merge(at, fullDelta(otherStore, at));
+    for (int index = 0; index < entryCount; ++index)
+      otherStore.put(writtenAt, 1, std::to_string(index), value);
+    return ownStore.merge(writtenAt, fullDelta(otherStore, writtenAt));
   };
   EXPECT_EQ(mergeOwner("dead", 0s, 100).rejected, 0U);
   EXPECT_EQ(mergeOwner("living", 60s, 100).rejected, 0U);
@@ -198,19 +200,19 @@
     if (index % 3 == 0) secondStore.merge(0s, fullDelta(otherStore, 0s));
   }
   std::string cursor;
-  int parts = 0;
+  int digestCount = 0;
   do {
     const Digest digest = secondStore.buildDigest(0s, cursor, 1000);
     for (const Delta& delta : {firstStore.buildDelta(0s, digest, kUnlimitedBytes)})
       secondStore.merge(0s, delta);
     cursor = digest.lastOwner.empty() ? "" : digest.lastOwner + '\0';
-    ++parts;
+    ++digestCount;
   } while (!cursor.empty());
-  EXPECT_GT(parts, 2);
+  EXPECT_GT(digestCount, 2);
   EXPECT_EQ(snapshotOf(secondStore, 0s, "two"), snapshotOf(firstStore, 0s, "one"));
 }
 
-// A history of a few owners with restarts, split into deltas that answer arbitrary digests.
+// A random history of writes by a few owners that restart, split into deltas that answer arbitrary digests.
 struct UpdateHistory {
   std::vector<Delta> deltas;
   std::vector<Store> incarnations;
@@ -261,14 +263,14 @@
   std::shuffle(repeatedDeltas.begin(), repeatedDeltas.end(), generator);
   const StoreSnapshot expected = snapshotAfter(history.deltas);
   RC_ASSERT(snapshotAfter(repeatedDeltas) == expected);
-  // The result is the last incarnation of each owner as the owner sees it.
-  StoreSnapshot latestLives;
+  // The result consists of the last incarnation of each owner, as its own store shows it.
+  StoreSnapshot latestIncarnations;
   for (const Store& incarnation : history.incarnations) {
-    std::erase_if(latestLives,
-                  [&](const auto& element) { return std::get<0>(element) == incarnation.owner(); });
-    latestLives.merge(snapshotOf(incarnation, 0s));
+    std::erase_if(latestIncarnations,
+                  [&](const auto& entry) { return std::get<0>(entry) == incarnation.owner(); });
+    latestIncarnations.merge(snapshotOf(incarnation, 0s));
   }
-  RC_ASSERT(expected == latestLives);
+  RC_ASSERT(expected == latestIncarnations);
 }
 
 RC_GTEST_PROP(GossipMerge, IsAssociativeCommutativeAndIdempotentAcrossStores, ()) {
@@ -280,38 +282,39 @@
     return store;
   };
   const Store a = partialStore("a"), b = partialStore("b"), c = partialStore("c");
-  const auto join = [](std::vector<const Store*> stores) {
-    Store joined = makeStore("into");
-    for (const Store* store : stores) joined.merge(0s, fullDelta(*store, 0s));
-    return joined;
+  const auto mergeStores = [](std::vector<const Store*> stores) {
+    Store merged = makeStore("into");
+    for (const Store* store : stores) merged.merge(0s, fullDelta(*store, 0s));
+    return merged;
   };
-  const auto withoutReaders = [](const Store& store) {
-    StoreSnapshot view = snapshotOf(store, 0s);
-    std::erase_if(view, [](const auto& item) { return std::get<0>(item).size() == 1; });
-    return view;
+  const auto snapshotWithoutReaders = [](const Store& store) {
+    StoreSnapshot snapshot = snapshotOf(store, 0s);
+    std::erase_if(snapshot, [](const auto& entry) { return std::get<0>(entry).size() == 1; });
+    return snapshot;
   };
-  const Store ab = join({&a, &b}), bc = join({&b, &c});
-  RC_ASSERT(withoutReaders(join({&ab, &c})) == withoutReaders(join({&a, &bc})));
-  RC_ASSERT(withoutReaders(join({&a, &b})) == withoutReaders(join({&b, &a})));
-  RC_ASSERT(withoutReaders(join({&a, &a})) == withoutReaders(a));
+  const Store ab = mergeStores({&a, &b}), bc = mergeStores({&b, &c});
+  RC_ASSERT(snapshotWithoutReaders(mergeStores({&ab, &c})) == snapshotWithoutReaders(mergeStores({&a, &bc})));
+  RC_ASSERT(snapshotWithoutReaders(mergeStores({&a, &b})) == snapshotWithoutReaders(mergeStores({&b, &a})));
+  RC_ASSERT(snapshotWithoutReaders(mergeStores({&a, &a})) == snapshotWithoutReaders(a));
 }
 
-// A fleet in simulated time whose datagrams are lost, duplicated and delayed at random; then the faults end.
+// Simulates a fleet whose datagrams are lost, duplicated and delayed at random. Returns the time from the end
+// of the losses until all stores agree.
 Duration convergenceTime(unsigned seed) {
   struct Member {
     std::unique_ptr<Store> store;
-    std::unique_ptr<GossipProtocol> gossip;
+    std::unique_ptr<GossipProtocol> protocol;
   };
   std::mt19937 generator(seed);
   const std::size_t memberCount = 2 + generator() % 7;
   std::vector<Member> members(memberCount);
-  const auto startMember = [&](std::size_t index, std::uint64_t generation) {
+  const auto startMember = [&](std::size_t index, std::uint64_t incarnation) {
     GossipOptions options;
     for (std::size_t peer = 0; peer < memberCount; ++peer)
       if (peer != index) options.peers.push_back(peer);
-    options.seed = index + 7 * generation;
-    members[index].store = std::make_unique<Store>(makeStore("m" + std::to_string(index), generation));
-    members[index].gossip = std::make_unique<GossipProtocol>(*members[index].store, options);
+    options.seed = index + 7 * incarnation;
+    members[index].store = std::make_unique<Store>(makeStore("m" + std::to_string(index), incarnation));
+    members[index].protocol = std::make_unique<GossipProtocol>(*members[index].store, options);
   };
   for (std::size_t index = 0; index < memberCount; ++index) startMember(index, 1);
   struct DatagramInFlight {
@@ -334,12 +337,13 @@
     }
   };
   for (; now < kTimeLimit; now += 5ms) {
-    for (std::size_t item = 0; item < memberCount; ++item) {
+    for (std::size_t index = 0; index < memberCount; ++index) {
       if (now < kLossEndsAt && generator() % 40 == 0)
-        members[item].store->put(now, 1, std::to_string(generator() % 5), std::to_string(generator() % 1000));
+        members[index].store->put(now, 1, std::to_string(generator() % 5),
+                                  std::to_string(generator() % 1000));
       if (now < kLossEndsAt && generator() % 2000 == 0)
-        startMember(item, members[item].store->incarnation() + 1);
-      if (now >= members[item].gossip->nextRoundAt()) send(item, members[item].gossip->runRound(now));
+        startMember(index, members[index].store->incarnation() + 1);
+      if (now >= members[index].protocol->nextRoundAt()) send(index, members[index].protocol->runRound(now));
     }
     std::vector<DatagramInFlight> arrived;
     std::partition_copy(datagramsInFlight.begin(), datagramsInFlight.end(), std::back_inserter(arrived),
@@ -350,9 +354,10 @@
     std::shuffle(arrived.begin(), arrived.end(), generator);
     for (const DatagramInFlight& datagramInFlight : arrived) {
       Member& receiver = members[datagramInFlight.receiver];
-      const DecodeResult read = decode(datagramInFlight.datagram, "c", receiver.store->owner());
-      send(datagramInFlight.receiver, receiver.gossip->onMessage(now, datagramInFlight.sender, read.sender,
-                                                                 std::get<Message>(read.content)));
+      const DecodeResult decoded = decode(datagramInFlight.datagram, "c", receiver.store->owner());
+      send(datagramInFlight.receiver,
+           receiver.protocol->onMessage(now, datagramInFlight.sender, decoded.sender,
+                                        std::get<Message>(decoded.content)));
     }
     if (now < kLossEndsAt || now % 50ms != 0us) continue;
     const StoreSnapshot firstSnapshot = snapshotOf(*members[0].store, now);
@@ -360,32 +365,32 @@
                     [&](const Member& member) { return snapshotOf(*member.store, now) == firstSnapshot; }))
       return now - kLossEndsAt;
   }
-  ADD_FAILURE() << "seed " << seed << ": " << memberCount << " members do not agree";
+  ADD_FAILURE() << "seed " << seed << ": " << memberCount << " members did not converge";
   return kTimeLimit;
 }
 
-TEST(GossipProtocol, ConvergesWithinTwentyIntervalsWhenLossesEnd) {
+TEST(GossipProtocol, ConvergesWithinTwentyPeriodsWhenLossesEnd) {
   Duration slowest{0};
   for (unsigned seed = 1; seed <= 30; ++seed) slowest = std::max(slowest, convergenceTime(seed));
   EXPECT_LE(slowest, 200ms * 20);
   RecordProperty("worst_ms", static_cast<int>(slowest / 1ms));
 }
 
-TEST(GossipProtocol, VisitsEveryPeerPerRoundInOrderGivenBySeed) {
+TEST(GossipProtocol, ContactsEachPeerOncePerCycleInOrderOfSeed) {
   const auto visitOrder = [](std::uint64_t seed) {
     Store store = makeStore("one");
     GossipOptions options;
     options.seed = seed;
     for (PeerAddress peerAddress = 1; peerAddress <= 10; ++peerAddress) options.peers.push_back(peerAddress);
-    GossipProtocol gossip(store, options);
+    GossipProtocol protocol(store, options);
     std::vector<PeerAddress> visited;
     for (int round = 0; round < 30; ++round) {
-      const Duration now = gossip.nextRoundAt();
-      const auto messages = gossip.runRound(now);
+      const Duration now = protocol.nextRoundAt();
+      const auto messages = protocol.runRound(now);
       EXPECT_EQ(messages.size(), 1U);
       visited.push_back(messages.at(0).destination);
-      EXPECT_GE(gossip.nextRoundAt() - now, 150ms);
-      EXPECT_LE(gossip.nextRoundAt() - now, 250ms);
+      EXPECT_GE(protocol.nextRoundAt() - now, 150ms);
+      EXPECT_LE(protocol.nextRoundAt() - now, 250ms);
     }
     for (int round = 0; round < 3; ++round)
       EXPECT_EQ(std::set<PeerAddress>(visited.begin() + 10 * round, visited.begin() + 10 * round + 10).size(),
@@ -402,13 +407,14 @@
     firstStore.put(0s, 1, std::to_string(index), std::string(1000, 'v'));
   GossipOptions options;
   options.peers = {2};
-  GossipProtocol gossip(firstStore, options);
+  GossipProtocol protocol(firstStore, options);
   const Message digestMessage(secondStore.buildDigest(0s, {}, kMaxDigestBytes));
-  std::size_t answers = 0;
-  for (int item = 0; item < 10000; ++item) answers += gossip.onMessage(1s, 77, "two", digestMessage).size();
-  EXPECT_EQ(answers, 64 * GossipProtocol::kMaxAnswerDatagrams);
-  EXPECT_EQ(gossip.dropCount(DropReason::rateLimited), 10000U - 64);
-  EXPECT_FALSE(gossip.onMessage(1s + options.period, 77, "two", digestMessage).empty());
+  std::size_t answerCount = 0;
+  for (int messageIndex = 0; messageIndex < 10000; ++messageIndex)
+    answerCount += protocol.onMessage(1s, 77, "two", digestMessage).size();
+  EXPECT_EQ(answerCount, 64 * GossipProtocol::kMaxAnswerDatagrams);
+  EXPECT_EQ(protocol.dropCount(DropReason::rateLimited), 10000U - 64);
+  EXPECT_FALSE(protocol.onMessage(1s + options.period, 77, "two", digestMessage).empty());
 }
 
 // ---- wire format ----------------------------------------------------------------------------------------
@@ -425,15 +431,15 @@
 TEST(GossipCodec, RoundTripsLargestDeltaWithinDatagramLimit) {
   const std::string datagram = encode(Message(largestDelta()), kMaxLengthCluster, kMaxLengthName);
   EXPECT_LE(datagram.size(), kMaxDatagramBytes);
-  const DecodeResult read = decode(datagram, kMaxLengthCluster, "me");
-  const auto& delta = std::get<Delta>(std::get<Message>(read.content));
-  EXPECT_EQ(read.sender, kMaxLengthName);
+  const DecodeResult decoded = decode(datagram, kMaxLengthCluster, "me");
+  const auto& delta = std::get<Delta>(std::get<Message>(decoded.content));
+  EXPECT_EQ(decoded.sender, kMaxLengthName);
   EXPECT_EQ(delta.ownerDeltas.at(0).updates.at(0).value, largestDelta().ownerDeltas[0].updates[0].value);
   EXPECT_EQ(delta.ownerDeltas[0].updates[0].age, 9min);
   Store firstStore(StoreOptions{kMaxLengthName, kNumberLimit - 1, 10min});
   firstStore.put(0s, kMaxTopic, std::string(kMaxKeyBytes, 'k'), std::string(kMaxValueBytes, 'v'));
   EXPECT_EQ(firstStore.buildDelta(0s, Digest{}, kMaxDeltaBytes).ownerDeltas.size(),
-            1U);  // so that every entry fits one datagram
+            1U);  // every entry fits one datagram
   for (int index = 0; index < 100; ++index) {
     Store otherStore(
         StoreOptions{std::to_string(index) + std::string(kMaxOwnerBytes - 2, 'o'), kNumberLimit - 1, 10min});
@@ -462,8 +468,8 @@
 }
 
 DropReason dropReason(std::string_view datagram) {
-  const DecodeResult read = decode(datagram, "c", "me");
-  const auto* reason = std::get_if<DropReason>(&read.content);
+  const DecodeResult decoded = decode(datagram, "c", "me");
+  const auto* reason = std::get_if<DropReason>(&decoded.content);
   EXPECT_TRUE(reason) << datagram.size();
   return reason ? *reason : DropReason::sendFailed;
 }
@@ -482,28 +488,28 @@
   EXPECT_EQ(dropReason(datagram), DropReason::reservedKind);
   datagram[2] = '\x09';
   EXPECT_EQ(dropReason(datagram), DropReason::unknownKind);
-  datagram[2] = '\x01';  // the body of a digest differs
+  datagram[2] = '\x01';  // the body is not that of a digest
   EXPECT_EQ(dropReason(datagram), DropReason::malformed);
-  EXPECT_EQ(dropReason("\xdd\xff\xff\xff\xff"), DropReason::malformed);     // a list of four billion
-  EXPECT_EQ(dropReason(std::string(1000, '\x91')), DropReason::malformed);  // a nesting depth of a thousand
+  EXPECT_EQ(dropReason("\xdd\xff\xff\xff\xff"), DropReason::malformed);  // an array of four billion elements
+  EXPECT_EQ(dropReason(std::string(1000, '\x91')), DropReason::malformed);  // a nesting depth of 1000
   EXPECT_EQ(dropReason("\x95\x01\x02\xa1"
                        "c\xdb\xff\xff\xff\xff"),
-            DropReason::malformed);  // a string of the same size
+            DropReason::malformed);  // a string of four billion bytes
 }
 
 RC_GTEST_PROP(GossipCodec, KeepsOwnEntriesAndByteLimitWhenDatagramIsCorrupted, ()) {
   std::string datagram = encode(Message(largestDelta()), "c", "you");
-  const int changes = *rc::gen::inRange(1, 8);
-  for (int index = 0; index < changes; ++index)
+  const int changeCount = *rc::gen::inRange(1, 8);
+  for (int index = 0; index < changeCount; ++index)
     datagram[*rc::gen::inRange<std::size_t>(0, datagram.size())] =
         static_cast<char>(*rc::gen::inRange(0, 256));
   if (*rc::gen::inRange(0, 2) == 0) datagram.resize(*rc::gen::inRange<std::size_t>(0, datagram.size()));
   Store store = makeStore("me");
   store.put(0s, 1, "mine", "1");
-  GossipProtocol gossip(store, {{1}, 200ms, 3});
-  const DecodeResult read = decode(datagram, "c", "me");
-  if (const auto* message = std::get_if<Message>(&read.content))
-    gossip.onMessage(1s, 1, read.sender, *message);
+  GossipProtocol protocol(store, {{1}, 200ms, 3});
+  const DecodeResult decoded = decode(datagram, "c", "me");
+  if (const auto* message = std::get_if<Message>(&decoded.content))
+    protocol.onMessage(1s, 1, decoded.sender, *message);
   RC_ASSERT(store.totalBytes() <= StoreOptions{}.maxBytes);
   RC_ASSERT(snapshotOf(store, 1s).count({"me", store.incarnation(), 1, "mine", "1"}) == 1);
 }
@@ -517,16 +523,16 @@
   secondPublisher.publish(0s, {{"e1", {2, 5}}, {"e3", {1, 1}}}, {3, 6});
   synchronize(0s, secondStore, firstStore);
   synchronize(0s, secondStore, firstStore);
-  FleetLoad sum = sumFleetLoad(firstStore, 1s);
-  EXPECT_EQ(sum.controllers, 2U);
-  EXPECT_EQ(sum.liveControllers, 2U);
-  EXPECT_EQ(sum.total, (Load{6, 15}));
-  EXPECT_EQ(sum.engines, (std::map<std::string, Load>{{"e1", {5, 15}}, {"e3", {1, 1}}}));
+  FleetLoad fleetLoad = sumFleetLoad(firstStore, 1s);
+  EXPECT_EQ(fleetLoad.controllers, 2U);
+  EXPECT_EQ(fleetLoad.liveControllers, 2U);
+  EXPECT_EQ(fleetLoad.total, (Load{6, 15}));
+  EXPECT_EQ(fleetLoad.engines, (std::map<std::string, Load>{{"e1", {5, 15}}, {"e3", {1, 1}}}));
   firstPublisher.publish(8s, {{"e1", {3, 11}}}, {3, 10});
-  sum = sumFleetLoad(firstStore, 8s);  // no heartbeat of the other within the timeout
-  EXPECT_EQ(sum.liveControllers, 1U);
-  EXPECT_EQ(sum.total, (Load{3, 16}));
-  EXPECT_EQ(sum.engines.at("e1"), (Load{3, 16}));
+  fleetLoad = sumFleetLoad(firstStore, 8s);  // the other controller sent no heartbeat within the timeout
+  EXPECT_EQ(fleetLoad.liveControllers, 1U);
+  EXPECT_EQ(fleetLoad.total, (Load{3, 16}));
+  EXPECT_EQ(fleetLoad.engines.at("e1"), (Load{3, 16}));
   firstStore.put(9s, kLoadTopic, "e9", "nonsense");
   EXPECT_EQ(sumFleetLoad(firstStore, 9s).unreadableValues, 1U);
 }
