--- a/src/counterfactual/calibration.cpp
+++ b/src/counterfactual/calibration.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr double kMaxDivertedRatio = 0.01;
-constexpr double kMiscalibrationThreshold = 4;  // standard deviations of a check
-// Options outside of this range of probabilities carry no information for the checks.
+constexpr double kMiscalibrationThreshold = 4;  // in standard deviations of the check
+// Options whose propensity is outside of this range carry no information for the checks.
 constexpr double kMinCheckedProbability = 0.01;
 constexpr double kMaxCheckedProbability = 0.99;
 
@@ -24,14 +24,14 @@
   sums.variance[checkIndex] += variance;
 }
 
-// The declared cost relative to the mean of its class, as a factor of the second check.
+// The deviation of the declared cost from the mean of its class, relative to the mean: the weight of check 1.
 double computeRelativeCost(const DecisionRecord& record, const DeclaredCosts& classCosts) {
   return classCosts.sum > 0
              ? std::clamp(record.declaredCost / (classCosts.sum / classCosts.requests) - 1, -1.0, 3.0)
              : 0;
 }
 
-// `lastResiduals`: by engine, the residual of the preceding request that could have gone there.
+// `lastResiduals` holds, by engine, the residual of the preceding request that could have started there.
 void addRecordChecks(Summary& summary, const DecisionRecord& record, double relativeCost,
                      std::map<std::uint32_t, double>& lastResiduals) {
   for (std::size_t optionIndex = 0; optionIndex < record.optionCount; ++optionIndex) {
--- a/src/counterfactual/calibration.hpp
+++ b/src/counterfactual/calibration.hpp
@@ -1,4 +1,4 @@
-// Collects the calibration sums of a summary. Internal to summarize().
+// Computes the calibration sums of a summary. Internal to summarize().
 #pragma once
 
 #include <vector>
--- a/src/counterfactual/decision_record.hpp
+++ b/src/counterfactual/decision_record.hpp
@@ -1,5 +1,5 @@
-// The record of one request's placement decision: the engines that could have served it, their probabilities,
-// what other policies would have done, and the outcome. See docs/hindsight.md.
+// The record of one request's placement decision: the candidate engines with their propensities, the actions
+// of the alternative policies, and the outcome. See docs/hindsight.md.
 #pragma once
 
 #include <array>
@@ -10,57 +10,57 @@
 
 namespace paddletrack::counterfactual {
 
-/// Alternative policies for engine selection. All but the last start a request at the selected engine by the
-/// rule of the admission module.
+/// Alternative (target) policies for engine selection. The logging policy is that of the admission module.
+/// All but the last policy start a request at the selected engine by the rule of the admission module.
 enum class Policy : std::uint8_t {
   leastInFlight,  // fewest own threads in flight per core; the order of candidates breaks ties
-  twoChoices,     // of two random candidates the one with fewer threads in flight per core
-  nearest,        // the best score in the own zone, or the best of all if there is no candidate in the zone
+  twoChoices,     // the one of two random candidates with fewer threads in flight per core
+  nearest,        // the best score in the own zone, or the best of all candidates if none is in the zone
   noProbabilisticStart,  // the engine that the module selects, without starts above the concurrency target
 };
 constexpr std::size_t kPolicyCount = 4;
 /// Returns the policy's name in reports.
 const char* nameOf(Policy policy);
 
-/// Engines in a record: those with the highest probabilities.
+/// Maximum number of engines in a record. Those with the highest propensities are recorded.
 constexpr std::size_t kMaxOptions = 8;
-/// Engines that are selected with a lower probability are unreachable. This keeps importance weights
-/// below 20.
+/// Engines that the logging policy selects with a lower probability are unreachable. This keeps importance
+/// weights below 20.
 constexpr double kMinProbability = 0.05;
 /// Values of DecisionRecord::chosen: the first decision did not start the request, or started it at an engine
 /// that is not among the options.
 constexpr std::uint8_t kWaited = 0xff;
 constexpr std::uint8_t kUnlistedEngine = 0xfe;
 
-/// What a policy would have done in one decision, as far as the logged policy could have done the same. The
-/// rest of its probability, asLoggedProbability, is assumed to act as the logged policy did.
+/// Action probabilities of a policy in one decision, as far as the logging policy could have taken the same
+/// actions. With the remaining probability, asLoggedProbability, the policy is assumed to act as the logging
+/// policy did.
 struct PolicyAction {
   std::vector<double> startProbabilities;  // by candidate
   double waitProbability = 0;
-  double asLoggedProbability = 1;     // sums to 1 with the two above
-  double unreachableProbability = 0;  // part of the above that is a different, unreachable action
+  double asLoggedProbability = 1;     // the probabilities above and this one sum to 1
+  double unreachableProbability = 0;  // part of asLoggedProbability that is a different, unreachable action
 };
-/// The probabilities of one decision.
+/// The probabilities of one decision under the logging policy and the alternative policies.
 struct Decision {
-  std::vector<double> selectionProbabilities;  // that each candidate is selected
-  std::vector<double> startProbabilities;      // that the request starts there at once
+  std::vector<double> selectionProbabilities;  // by candidate: that it is selected
+  std::vector<double> startProbabilities;      // by candidate: that the request starts there at once
   double waitProbability = 0;
   std::array<PolicyAction, kPolicyCount> policyActions;
 };
 /// Computes the probabilities of a decision among `candidates` (not empty) for a controller in `zone`.
 Decision analyzeDecision(const std::vector<Candidate>& candidates, unsigned zone);
 /// Returns the index of the candidate that the policy selects. `loggedIndex` is the one that the admission
-/// module selected, `randomDraw` a random number in [0, 1).
+/// module (the logging policy) selected, `randomDraw` a random number in [0, 1).
 std::size_t selectByPolicy(Policy policy, const std::vector<Candidate>& candidates, unsigned zone,
                            std::size_t loggedIndex, double randomDraw);
 
 /// The first decision of a request and its outcome.
 struct DecisionRecord {
   Duration arrivedAt{0};
-  double latency = 0;  // seconds until the final response; for a failed request at least its time limit
+  double latency = 0;  // seconds until the final response; at least the request timeout if it failed
   bool onTime = false;
-  bool wasDiverted =
-      false;  // it started at another engine than decided, so that its probabilities are unknown
+  bool wasDiverted = false;  // it started at another engine than selected, so that its propensity is unknown
   std::uint8_t requestClass = 0;
   std::uint8_t optionCount = 0;
   std::uint8_t chosen = kWaited;  // index in `options`, kWaited or kUnlistedEngine
@@ -68,8 +68,8 @@
   struct Option {
     std::uint32_t engine = 0;  // Engine::number
     std::uint16_t zone = 0;
-    float startProbability = 0;  // that the request starts there in its first decision
-    float utilization = 0;       // of its concurrency target, this request included
+    float startProbability = 0;  // propensity of starting there in the first decision
+    float utilization = 0;       // as a ratio of its concurrency target, this request included
   };
   std::array<Option, kMaxOptions> options{};
   float totalStartProbability = 0;  // over all candidates
@@ -77,8 +77,9 @@
     std::array<float, kMaxOptions> startProbabilities{};
     float waitProbability = 0;
     float asLoggedProbability = 1;  // see PolicyAction
-    float importanceWeight = 0;  // first decision: the policy's probability of the action over the logged one
-    float laterWeight = 1;       // product of the weights of all later decisions
+    float importanceWeight =
+        0;  // of the first decision: the policy's probability of the action over its propensity
+    float laterWeight = 1;             // product of the importance weights of all later decisions
     float unreachableProbability = 0;  // see PolicyAction
   };
   std::array<PolicyOutcome, kPolicyCount> policies{};  // by Policy
--- a/src/counterfactual/decision_recorder.cpp
+++ b/src/counterfactual/decision_recorder.cpp
@@ -9,15 +9,16 @@
 namespace {
 
 constexpr double kEqualityTolerance = 1e-9;
-constexpr double kMaxLaterWeight = 20;  // importance weights are clipped at this value
+constexpr double kMaxImportanceWeight = 20;  // importance weights are clipped to this value
 
-double seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
+double toSeconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
 double inFlightPerCore(const Candidate& candidate) {
   return candidate.engine->threadsInFlight / std::max(candidate.engine->effectiveCores, 1e-9);
 }
 
-// Indices by ascending threads in flight per core. The order of candidates breaks ties.
+// Returns the indices of the candidates by ascending threads in flight per core. The order of candidates
+// breaks ties.
 std::vector<std::size_t> orderByInFlight(const std::vector<Candidate>& candidates) {
   std::vector<std::size_t> order(candidates.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
@@ -27,7 +28,8 @@
   return order;
 }
 
-// The candidate with the best score in the zone, or of all candidates if there is none in the zone.
+// Returns the index of the candidate with the best score in the zone, or of all candidates if none is in the
+// zone.
 std::size_t findNearest(const std::vector<Candidate>& candidates, unsigned zone) {
   const std::size_t count = candidates.size();
   std::size_t bestIndex = count;
@@ -41,9 +43,9 @@
                                   candidates.begin());
 }
 
-// The probability of each candidate to be selected by the policy.
-std::vector<double> selectionByPolicy(Policy policy, const std::vector<Candidate>& candidates, unsigned zone,
-                                      const std::vector<double>& loggedSelection) {
+// Returns, by candidate, the probability that the policy selects it.
+std::vector<double> computeSelectionProbabilities(Policy policy, const std::vector<Candidate>& candidates,
+                                                  unsigned zone, const std::vector<double>& loggedSelection) {
   std::vector<double> selection(candidates.size());
   const std::size_t count = candidates.size();
   switch (policy) {
@@ -66,25 +68,25 @@
   return selection;
 }
 
-// The probability that the policy starts the request at the candidate if it selects it.
-double startProbabilityUnder(Policy policy, const Candidate& candidate) {
+// Returns the probability that the policy starts the request at the candidate, given that it selects it.
+double startProbabilityByPolicy(Policy policy, const Candidate& candidate) {
   if (policy != Policy::noProbabilisticStart) return candidate.startProbability;
   return candidate.startProbability < 1 ? 0 : 1;
 }
 
-// `decision` holds the probabilities of the logged policy.
+// `decision` holds the probabilities of the logging policy.
 PolicyAction computePolicyAction(Policy policy, const std::vector<Candidate>& candidates, unsigned zone,
                                  const Decision& decision) {
   PolicyAction action;
   action.startProbabilities.assign(candidates.size(), 0);
   const std::vector<double> selection =
-      selectionByPolicy(policy, candidates, zone, decision.selectionProbabilities);
-  double maxDifference = 0;  // from the logged policy
+      computeSelectionProbabilities(policy, candidates, zone, decision.selectionProbabilities);
+  double maxDifference = 0;  // from the logging policy
   for (std::size_t index = 0; index < candidates.size(); ++index) {
     const bool isReachable =
         decision.selectionProbabilities[index] >= kMinProbability || policy == Policy::noProbabilisticStart;
     if (selection[index] <= 0 || !isReachable) continue;
-    const double startProbability = startProbabilityUnder(policy, candidates[index]);
+    const double startProbability = startProbabilityByPolicy(policy, candidates[index]);
     action.startProbabilities[index] = selection[index] * startProbability;
     action.waitProbability += selection[index] * (1 - startProbability);
     action.asLoggedProbability -= selection[index];
@@ -99,28 +101,31 @@
   return action;
 }
 
-// Indices of the candidates that a record keeps as options, by descending probability. Candidates that are
-// never selected carry no information.
+// Returns the indices of the candidates that a record keeps as options, by descending probability. Candidates
+// that are never selected carry no information and are omitted.
 std::vector<std::size_t> selectOptions(const std::vector<double>& selectionProbabilities) {
-  std::vector<std::size_t> order(selectionProbabilities.size());
-  std::iota(order.begin(), order.end(), std::size_t{0});
-  const std::size_t optionCount = std::min(order.size(), kMaxOptions);
-  std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(optionCount), order.end(),
+  std::vector<std::size_t> optionIndices(selectionProbabilities.size());
+  std::iota(optionIndices.begin(), optionIndices.end(), std::size_t{0});
+  const std::size_t optionCount = std::min(optionIndices.size(), kMaxOptions);
+  std::partial_sort(optionIndices.begin(), optionIndices.begin() + static_cast<std::ptrdiff_t>(optionCount),
+                    optionIndices.end(),
                     [&](auto a, auto b) { return selectionProbabilities[a] > selectionProbabilities[b]; });
-  order.resize(optionCount);
-  while (!order.empty() && selectionProbabilities[order.back()] <= 0) order.pop_back();
-  return order;
+  optionIndices.resize(optionCount);
+  while (!optionIndices.empty() && selectionProbabilities[optionIndices.back()] <= 0)
+    optionIndices.pop_back();
+  return optionIndices;
 }
 
-// `order`: indices of the candidates that are kept as options.
+// `optionIndices` holds the indices of the candidates that are kept as options.
 DecisionRecord::PolicyOutcome makePolicyOutcome(const PolicyAction& action,
-                                                const std::vector<std::size_t>& order) {
+                                                const std::vector<std::size_t>& optionIndices) {
   DecisionRecord::PolicyOutcome policyOutcome;
   policyOutcome.waitProbability = static_cast<float>(action.waitProbability);
   double keptProbability = action.waitProbability;
-  for (std::size_t index = 0; index < order.size(); ++index) {
-    policyOutcome.startProbabilities[index] = static_cast<float>(action.startProbabilities[order[index]]);
-    keptProbability += action.startProbabilities[order[index]];
+  for (std::size_t index = 0; index < optionIndices.size(); ++index) {
+    policyOutcome.startProbabilities[index] =
+        static_cast<float>(action.startProbabilities[optionIndices[index]]);
+    keptProbability += action.startProbabilities[optionIndices[index]];
   }
   // Actions at engines that are not among the options count as unreachable.
   policyOutcome.asLoggedProbability = static_cast<float>(1 - keptProbability);
@@ -140,14 +145,14 @@
 std::size_t selectByPolicy(Policy policy, const std::vector<Candidate>& candidates, unsigned zone,
                            std::size_t loggedIndex, double randomDraw) {
   if (policy == Policy::noProbabilisticStart) return loggedIndex;
-  const std::vector<double> selection = selectionByPolicy(policy, candidates, zone, {});
-  std::size_t lastPossible = 0;
+  const std::vector<double> selection = computeSelectionProbabilities(policy, candidates, zone, {});
+  std::size_t lastReachable = 0;
   for (std::size_t index = 0; index < selection.size(); ++index) {
     if (selection[index] <= 0) continue;
-    lastPossible = index;
+    lastReachable = index;
     if ((randomDraw -= selection[index]) < 0) break;
   }
-  return lastPossible;
+  return lastReachable;
 }
 
 Decision analyzeDecision(const std::vector<Candidate>& candidates, unsigned zone) {
@@ -195,19 +200,19 @@
   record.arrivedAt = request.arrivedAt;
   record.requestClass = static_cast<std::uint8_t>(request.requestClass->index);
   record.declaredCost =
-      static_cast<float>(request.declaredCost ? seconds(*request.declaredCost) : request.costTokens);
+      static_cast<float>(request.declaredCost ? toSeconds(*request.declaredCost) : request.costTokens);
   record.totalStartProbability = static_cast<float>(1 - decision.waitProbability);
-  const std::vector<std::size_t> order = selectOptions(decision.selectionProbabilities);
-  record.optionCount = static_cast<std::uint8_t>(order.size());
-  for (std::size_t index = 0; index < order.size(); ++index) {
-    const Candidate& candidate = candidates[order[index]];
+  const std::vector<std::size_t> optionIndices = selectOptions(decision.selectionProbabilities);
+  record.optionCount = static_cast<std::uint8_t>(optionIndices.size());
+  for (std::size_t index = 0; index < optionIndices.size(); ++index) {
+    const Candidate& candidate = candidates[optionIndices[index]];
     record.options[index] = {candidate.engine->number,
                              static_cast<std::uint16_t>(candidate.engine->endpoint.zone),
-                             static_cast<float>(decision.startProbabilities[order[index]]),
+                             static_cast<float>(decision.startProbabilities[optionIndices[index]]),
                              static_cast<float>(candidate.utilization)};
   }
   for (std::size_t policy = 0; policy < kPolicyCount; ++policy)
-    record.policies[policy] = makePolicyOutcome(decision.policyActions[policy], order);
+    record.policies[policy] = makePolicyOutcome(decision.policyActions[policy], optionIndices);
 }
 
 void DecisionRecorder::resolvePendingDecision(std::size_t engineIndex) {
@@ -234,16 +239,16 @@
         std::max(loggedProbability, 1e-12);
     if (!pending_.isFirstDecision)
       policyOutcome.laterWeight = static_cast<float>(std::min(
-          kMaxLaterWeight, policyOutcome.laterWeight * (probabilityRatio + action.asLoggedProbability)));
+          kMaxImportanceWeight, policyOutcome.laterWeight * (probabilityRatio + action.asLoggedProbability)));
     else if (record.chosen != kUnlistedEngine)
-      policyOutcome.importanceWeight = static_cast<float>(std::min(probabilityRatio, kMaxLaterWeight));
+      policyOutcome.importanceWeight = static_cast<float>(std::min(probabilityRatio, kMaxImportanceWeight));
   }
 }
 
 void DecisionRecorder::onAttemptStarted(const Attempt& attempt) {
   if (pending_.request != attempt.request) return;
   const auto found = std::find(pending_.engines.begin(), pending_.engines.end(), attempt.engine);
-  if (found == pending_.engines.end()) {  // It was not a candidate.
+  if (found == pending_.engines.end()) {  // The engine was not a candidate.
     openRecords_[attempt.request].wasDiverted = true;
     pending_.request = nullptr;
     return;
@@ -256,11 +261,11 @@
   const auto found = openRecords_.find(&request);
   if (found == openRecords_.end()) return;
   DecisionRecord& record = found->second;
-  const double elapsed = seconds(now - request.arrivedAt);
-  const double timeLimit = seconds(request.deadline - request.arrivedAt);
+  const double elapsed = toSeconds(now - request.arrivedAt);
+  const double timeLimit = toSeconds(request.deadline - request.arrivedAt);
   record.latency = succeeded ? elapsed : std::max(elapsed, timeLimit);
   const double latencyObjective =
-      seconds(request.requestClass->latencyObjective) +
+      toSeconds(request.requestClass->latencyObjective) +
       request.requestClass->latencyObjectiveCostFactor * request.costTokens / request.requestClass->threads;
   record.onTime = succeeded && elapsed <= std::min(latencyObjective, timeLimit);
   if (finishedRecords_.size() < options_.maxRecords)
--- a/src/counterfactual/decision_recorder.hpp
+++ b/src/counterfactual/decision_recorder.hpp
@@ -15,31 +15,31 @@
 class DecisionRecorder {
  public:
   struct Options {
-    std::size_t maxRecords = 4096;             // limit of finished records and of open ones
-    Duration window{std::chrono::minutes(5)};  // age of requests that records() returns
+    std::size_t maxRecords = 4096;  // limit of the finished records and, separately, of the open ones
+    Duration window{std::chrono::minutes(5)};  // maximum age of the requests that records() returns
   };
   /// `deployment` must outlive this object.
   DecisionRecorder(const Deployment& deployment, Options options)
       : deployment_(deployment), options_(options) {}
 
-  /// The admission module weighed `candidates` for the request.
+  /// Called when the admission module has evaluated `candidates` for the request.
   void onDecision(const Request& request, const std::vector<Candidate>& candidates);
   void onAttemptStarted(const Attempt& attempt);
-  /// The request got its final response, or its client disconnected.
+  /// Called when the request got its final response, or its client disconnected.
   void onRequestFinished(Duration now, const Request& request, bool succeeded);
 
   /// Finished records of requests that arrived within the window, oldest first. Valid until the next event.
   std::vector<const DecisionRecord*> records(Duration now) const;
   struct Counts {
     std::uint64_t finished = 0;
-    std::uint64_t dropped = 0;  // not recorded, because too many records were open
+    std::uint64_t dropped = 0;  // requests not recorded because too many records were open
     std::size_t openRecords = 0;
   };
   Counts counts() const { return {finished_, dropped_, openRecords_.size()}; }
   const Options& options() const { return options_; }
 
  private:
-  // The last decision, until it is known whether it started an attempt.
+  // The latest decision, kept until it is known whether it started an attempt.
   struct PendingDecision {
     const Request* request = nullptr;
     bool isFirstDecision = false;
@@ -48,7 +48,8 @@
     Decision decision;
   };
   void openRecord(const Request& request, const std::vector<Candidate>& candidates);
-  // Records the result of the last decision: the index of the candidate that was started, or kNotStarted.
+  // Records the action of the pending decision: `engineIndex` is the index of the candidate at which the
+  // request started, or kNotStarted.
   void resolvePendingDecision(std::size_t engineIndex);
   static constexpr std::size_t kNotStarted = static_cast<std::size_t>(-1);
 
--- a/src/counterfactual/estimate.cpp
+++ b/src/counterfactual/estimate.cpp
@@ -6,16 +6,16 @@
 namespace paddletrack::counterfactual {
 namespace {
 
-constexpr double kNormalQuantile90 = 1.645;     // of a two-sided interval of 90 %
-constexpr double kNormalQuantile95 = 1.96;      // of 95 %, used where two policies are compared
+constexpr double kNormalQuantile90 = 1.645;     // of a two-sided confidence interval of 90 %
+constexpr double kNormalQuantile95 = 1.96;      // of 95 %, for comparisons of two policies
 constexpr double kMinEffectiveRequests = 30;    // effective sample size of a conclusive estimate
-constexpr double kMinReachableRatio = 0.02;     // of the requests
+constexpr double kMinReachableRatio = 0.02;     // of all requests
 constexpr double kMinInformativeRequests = 5;   // see PolicySums::MeasureSums::informativeRequests
 constexpr double kMiscalibrationThreshold = 4;  // standard deviations
 constexpr double kMinDegreesOfFreedom = 3;
 
-// Student's t quantile from the normal one (Cornish and Fisher's expansion; within 2 % from 3 degrees of
-// freedom on).
+// Approximates the quantile of Student's t distribution from that of the normal distribution (Cornish-Fisher
+// expansion; the error is within 2 % from 3 degrees of freedom on).
 double studentQuantile(double normalQuantile, double degreesOfFreedom) {
   const double boundedDegrees = std::max(degreesOfFreedom, kMinDegreesOfFreedom);
   const double cube = normalQuantile * normalQuantile * normalQuantile;
@@ -24,7 +24,8 @@
              (96 * boundedDegrees * boundedDegrees);
 }
 
-// Degrees of freedom of the variance estimate (Satterthwaite). There are few if few requests dominate it.
+// Degrees of freedom of the variance estimate (Satterthwaite). They are few if a few requests dominate the
+// variance.
 double robustDegreesOfFreedom(const PolicySums::MeasureSums& measureSums) {
   return measureSums.doublyRobustVarianceSquares > 0
              ? 2 * measureSums.doublyRobustVariance * measureSums.doublyRobustVariance /
@@ -32,8 +33,9 @@
              : kMinDegreesOfFreedom;
 }
 
-// The larger of two variances: that of the requests that acted as the policy, and that of all requests on the
-// assumption of equal errors. A few large errors can be missing in either by chance.
+// The larger of two variance estimates: that over the requests whose logged action agrees with the policy,
+// and that over all requests under the assumption that all actions of a request have the same error. Either
+// can miss a few large errors by chance.
 double conservativeVariance(const PolicySums::MeasureSums& measureSums) {
   return std::max(measureSums.doublyRobustVariance, measureSums.pooledVariance);
 }
@@ -44,8 +46,8 @@
   return {Verdict::conclusive, value, value - halfWidth, value + halfWidth};
 }
 
-Verdict judgePolicy(const PolicyEstimate& estimate, const PolicySums& sums,
-                    const PolicySums::MeasureSums& measureSums, double requests) {
+Verdict determineVerdict(const PolicyEstimate& estimate, const PolicySums& sums,
+                         const PolicySums::MeasureSums& measureSums, double requests) {
   if (estimate.reachableRatio < kMinReachableRatio && requests >= kMinEffectiveRequests) {
     if (estimate.unreachableRatio > kMinReachableRatio) return Verdict::unreachable;
     return sums.reachable > 0 ? Verdict::tooFewRequests : Verdict::sameAsLogged;
@@ -56,13 +58,14 @@
   return Verdict::conclusive;
 }
 
-// The mean of the weights is known. If it deviates by more than chance, the recorded probabilities are wrong.
+// The expectation of the importance weights is known. If their sum deviates from it by more than chance
+// explains, the recorded propensities are wrong.
 bool hasInvalidWeights(const PolicySums& sums) {
   return sums.weightVariance > 0 &&
          std::abs(sums.weights - sums.reachable) > kMiscalibrationThreshold * std::sqrt(sums.weightVariance);
 }
 
-// A comparison is conclusive only if its interval excludes 0.
+// A comparison is conclusive only if its confidence interval excludes 0.
 void requireSignificance(Estimate& estimate) {
   if (estimate.isConclusive() && estimate.low <= 0 && estimate.high >= 0)
     estimate.verdict = Verdict::tooFewRequests;
@@ -88,21 +91,22 @@
   result.effectiveSampleSize =
       policySums.squaredWeights > 0 ? policySums.weights * policySums.weights / policySums.squaredWeights : 0;
   const Verdict verdict = isCalibrated && !hasInvalidWeights(policySums)
-                              ? judgePolicy(result, policySums, measureSums, requests)
+                              ? determineVerdict(result, policySums, measureSums, requests)
                               : Verdict::miscalibrated;
   const auto setEstimate = [&](Method method, double value, double variance) {
     Estimate estimate = makeEstimate(value, variance, robustDegreesOfFreedom(measureSums));
     estimate.verdict = verdict;
     result.byMethod[static_cast<std::size_t>(method)] = estimate;
   };
-  setEstimate(Method::weighted, (measureSums.asLogged + measureSums.weighted) / requests,
+  setEstimate(Method::importanceWeighted, (measureSums.asLogged + measureSums.importanceWeighted) / requests,
               measureSums.designVarianceOutcomeSquared / requestsSquared);
-  const double weightedMean = policySums.weights > 0 ? measureSums.weighted / policySums.weights : 0;
+  const double selfNormalizedMean =
+      policySums.weights > 0 ? measureSums.importanceWeighted / policySums.weights : 0;
   const double scale = policySums.weights > 0 ? policySums.reachable / policySums.weights : 0;
   setEstimate(
-      Method::selfNormalized, (measureSums.asLogged + weightedMean * policySums.reachable) / requests,
-      (measureSums.designVarianceOutcomeSquared - 2 * weightedMean * measureSums.designVarianceOutcome +
-       weightedMean * weightedMean * measureSums.designVariance) *
+      Method::selfNormalized, (measureSums.asLogged + selfNormalizedMean * policySums.reachable) / requests,
+      (measureSums.designVarianceOutcomeSquared - 2 * selfNormalizedMean * measureSums.designVarianceOutcome +
+       selfNormalizedMean * selfNormalizedMean * measureSums.designVariance) *
           scale * scale / requestsSquared);
   setEstimate(Method::direct, measureSums.direct / requests, measureSums.directVariance / requestsSquared);
   setEstimate(Method::doublyRobust, measureSums.doublyRobust / requests,
--- a/src/counterfactual/fleet_statistics.cpp
+++ b/src/counterfactual/fleet_statistics.cpp
@@ -30,7 +30,7 @@
   return sums;
 }
 
-std::size_t valueCount(std::string_view key) {
+std::size_t expectedValueCount(std::string_view key) {
   switch (key.empty() ? '\0' : key.front()) {
     case 'c':
       return kValueCount<ClassSums>;
@@ -88,7 +88,7 @@
 
 bool FleetStatistics::mergeValue(const std::string& owner, std::uint64_t incarnation, std::string_view key,
                                  std::string_view value) {
-  const std::size_t expectedCount = valueCount(key);
+  const std::size_t expectedCount = expectedValueCount(key);
   VersionedSums received;
   try {
     if (expectedCount == 0 || key.size() > kMaxKeyBytes || value.size() > kMaxValueBytes)
@@ -104,7 +104,7 @@
       received.sums.push_back(fields[index + 2].as<float>());
       if (!std::isfinite(received.sums.back())) throw msgpack::type_error();
     }
-  } catch (const std::exception&) {  // All exceptions of msgpack derive from it.
+  } catch (const std::exception&) {  // All exceptions of msgpack derive from std::exception.
     ++rejectedCount_;
     return false;
   }
@@ -147,10 +147,10 @@
           addSums(result.pooledCalibration, readSums<CalibrationSums>(value.sums));
       }
     }
-  std::map<std::string, CalibrationSums> checks;
+  std::map<std::string, CalibrationSums> engineCalibrations;
   for (const auto& [engineName, engineStatistics] : result.engines)
-    checks[engineName] = engineStatistics.calibration;
-  result.isCalibrated = isWellCalibrated(result.pooledCalibration, checks);
+    engineCalibrations[engineName] = engineStatistics.calibration;
+  result.isCalibrated = isWellCalibrated(result.pooledCalibration, engineCalibrations);
   return result;
 }
 
--- a/src/counterfactual/fleet_statistics.hpp
+++ b/src/counterfactual/fleet_statistics.hpp
@@ -1,9 +1,9 @@
-// Each controller publishes its sums, and the fleet's statistics are the total of these. No I/O, no clock.
+// Statistics of the fleet, which are the total of the sums that the controllers publish. No I/O, no clock.
 //
 // A value holds the complete sums of a controller's window under one key, never a difference. Of each key of
 // an owner only the latest version counts, and a later incarnation replaces all values of an earlier one.
-// Duplicates, outdated copies and the order of arrival therefore do not change the result, and the sums of a
-// controller that died count as long as the store keeps them.
+// Duplicates, outdated copies and the order of arrival therefore do not change the result. The sums of a
+// controller that has ended count as long as the store keeps them.
 #pragma once
 
 #include <map>
@@ -36,7 +36,7 @@
 class FleetStatistics {
  public:
   static constexpr std::size_t kMaxOwners = 1024;
-  static constexpr std::size_t kMaxKeys = 2048;  // of one owner
+  static constexpr std::size_t kMaxKeys = 2048;  // per owner
   /// Returns false if the value was not merged: it is known or outdated, or it is malformed or exceeds a
   /// limit, which increments rejectedCount().
   bool mergeValue(const std::string& owner, std::uint64_t incarnation, std::string_view key,
--- a/src/counterfactual/outcome_model.cpp
+++ b/src/counterfactual/outcome_model.cpp
@@ -5,12 +5,11 @@
 namespace paddletrack::counterfactual {
 namespace {
 
-// The mean of a coarser cell counts as much as this number of requests.
+// Weight of the coarser cell's mean in a shrunk mean, as a number of requests.
 constexpr double kShrinkageRequests = 4;
 constexpr double kLoadBinWidth = 0.25;
 constexpr std::size_t kLoadBinCount = 8;
-// Load levels of a cell's key: all loads, requests that waited, and from kFirstLoadBin on the bins of
-// utilization.
+// Load levels in a cell key: all loads, requests that waited, and the utilization bins from kFirstLoadBin on.
 constexpr std::uint64_t kAllLoads = 0;
 constexpr std::uint64_t kWaitedLevel = 1;
 constexpr std::uint64_t kFirstLoadBin = 2;
--- a/src/counterfactual/outcome_model.hpp
+++ b/src/counterfactual/outcome_model.hpp
@@ -1,4 +1,5 @@
-// The model of the direct estimator: expected outcomes by request class, load and engine.
+// The outcome model of the direct method and of the doubly robust estimator: expected outcomes by request
+// class, load and engine.
 #pragma once
 
 #include <array>
@@ -10,20 +11,20 @@
 
 namespace paddletrack::counterfactual {
 
-/// The outcome of a request: its latency in seconds, or 1 if it was on time and 0 otherwise.
+/// Returns the outcome of a request: its latency in seconds, or 1 if it was on time and 0 otherwise.
 double measuredOutcome(const DecisionRecord& record, std::size_t measure);
 
-/// Mean outcomes of the cells class, class x load, and class x load x engine. Each mean is shrunk to that of
-/// the coarser cell.
+/// Mean outcomes by class, by class and load, and by class, load and engine. Each mean is shrunk towards that
+/// of the next coarser cell.
 class OutcomeModel {
  public:
   void addRecord(const DecisionRecord& record);
-  /// The expected outcome if the request starts at `option`, or waits if that is null.
+  /// Returns the expected outcome if the request starts at `option`, or if it waits where `option` is null.
   double mean(const DecisionRecord& record, const DecisionRecord::Option* option, std::size_t measure) const;
-  /// The variance of the mean itself, from the variance of the outcomes in its finest cell.
+  /// Returns the variance of that mean, computed from the variance of the outcomes in its finest cell.
   double variance(const DecisionRecord& record, const DecisionRecord::Option* option,
                   std::size_t measure) const;
-  /// Identifies the finest cell. All requests that use one cell share the error of its mean.
+  /// Returns the key of the finest cell. All requests that use the same cell share the error of its mean.
   static std::uint64_t cellOf(const DecisionRecord& record, const DecisionRecord::Option* option);
 
  private:
--- a/src/counterfactual/policy_sums.cpp
+++ b/src/counterfactual/policy_sums.cpp
@@ -10,42 +10,51 @@
 constexpr double kMinWeightDifference = 1e-9;   // smaller differences are rounding errors
 constexpr double kMinLoggedProbability = 1e-3;  // bounds the expected variance of one action
 
-// What one request contributes to the estimates of one policy.
-struct RequestTerm {
-  double reachable = 0;  // probability of reachable actions that differ from the logged policy
-  double weight = 0;
-  double designVariance = 0;    // design variance, to be multiplied by the squared error
-  double expectedVariance = 0;  // its expectation over all actions that the logged policy could have taken
+// The contribution of one request to the estimates of one policy.
+struct RequestContribution {
+  double reachable = 0;       // probability of reachable actions that differ from those of the logging policy
+  double weight = 0;          // importance weight
+  double designVariance = 0;  // design variance per unit of squared error
+  double expectedVariance =
+      0;  // expectation of designVariance over all actions that the logging policy could have taken
 };
 
-// With probability q of the policy's action that was taken, the design variance is w (w - q): that of Horvitz
-// and Thompson for q = 1. Requests that waited have further decisions behind them, all of which are random.
+// If the policy takes the logged action with probability q, the design variance is w (w - q) with the
+// importance weight w. For q = 1 that is the variance of the Horvitz-Thompson estimator. Requests that waited
+// were subject to further decisions, all of which are random.
 double computeDesignVariance(const DecisionRecord& record, const DecisionRecord::PolicyOutcome& policyOutcome,
-                             const RequestTerm& term) {
+                             const RequestContribution& contribution) {
   if (record.chosen == kWaited) {
-    const double totalWeight = term.weight + policyOutcome.asLoggedProbability * policyOutcome.laterWeight;
-    return term.reachable > 0 ? totalWeight * std::max(totalWeight - policyOutcome.waitProbability, 0.0) : 0;
+    const double totalWeight =
+        contribution.weight + policyOutcome.asLoggedProbability * policyOutcome.laterWeight;
+    return contribution.reachable > 0
+               ? totalWeight * std::max(totalWeight - policyOutcome.waitProbability, 0.0)
+               : 0;
   }
   if (record.chosen < record.optionCount)
-    return term.weight * std::max(term.weight - policyOutcome.startProbabilities[record.chosen], 0.0);
+    return contribution.weight *
+           std::max(contribution.weight - policyOutcome.startProbabilities[record.chosen], 0.0);
   return 0;
 }
 
-RequestTerm computeTerm(const DecisionRecord& record, const DecisionRecord::PolicyOutcome& policyOutcome) {
-  RequestTerm term;
-  term.reachable = 1 - policyOutcome.asLoggedProbability;
-  if (term.reachable < kMinReachable) term.reachable = 0;
-  term.weight = term.reachable > 0 ? policyOutcome.importanceWeight * policyOutcome.laterWeight : 0;
-  term.designVariance = computeDesignVariance(record, policyOutcome, term);
+RequestContribution computeContribution(const DecisionRecord& record,
+                                        const DecisionRecord::PolicyOutcome& policyOutcome) {
+  RequestContribution contribution;
+  contribution.reachable = 1 - policyOutcome.asLoggedProbability;
+  if (contribution.reachable < kMinReachable) contribution.reachable = 0;
+  contribution.weight =
+      contribution.reachable > 0 ? policyOutcome.importanceWeight * policyOutcome.laterWeight : 0;
+  contribution.designVariance = computeDesignVariance(record, policyOutcome, contribution);
   const auto addExpectedVariance = [&](double policyProbability, double loggedProbability) {
-    if (term.reachable > 0 && policyProbability > 0)
-      term.expectedVariance += policyProbability * policyProbability *
-                               std::max(1 / std::max(loggedProbability, kMinLoggedProbability) - 1, 0.0);
+    if (contribution.reachable > 0 && policyProbability > 0)
+      contribution.expectedVariance +=
+          policyProbability * policyProbability *
+          std::max(1 / std::max(loggedProbability, kMinLoggedProbability) - 1, 0.0);
   };
   for (std::size_t index = 0; index < record.optionCount; ++index)
     addExpectedVariance(policyOutcome.startProbabilities[index], record.options[index].startProbability);
   addExpectedVariance(policyOutcome.waitProbability, 1 - record.totalStartProbability);
-  return term;
+  return contribution;
 }
 
 // Adds one record to the sums of one policy.
@@ -55,20 +64,21 @@
       : record_(record),
         policyOutcome_(record.policies[policy]),
         models_(models),
-        term_(computeTerm(record, policyOutcome_)) {}
+        contribution_(computeContribution(record, policyOutcome_)) {}
 
-  const RequestTerm& term() const { return term_; }
+  const RequestContribution& contribution() const { return contribution_; }
 
   void addWeights(PolicySums& sums) const {
-    sums.reachable += term_.reachable;
+    sums.reachable += contribution_.reachable;
     sums.unreachable += policyOutcome_.unreachableProbability;
-    sums.weights += term_.weight;
-    sums.squaredWeights += term_.weight * term_.weight;
-    sums.weightVariance += (term_.weight - term_.reachable) * (term_.weight - term_.reachable);
+    sums.weights += contribution_.weight;
+    sums.squaredWeights += contribution_.weight * contribution_.weight;
+    sums.weightVariance +=
+        (contribution_.weight - contribution_.reachable) * (contribution_.weight - contribution_.reachable);
   }
 
   void addCellUses(std::map<std::uint64_t, double>& cellUses) const {
-    const bool isReachable = term_.reachable > 0;
+    const bool isReachable = contribution_.reachable > 0;
     if (!isReachable) return;
     for (std::size_t index = 0; index < record_.optionCount; ++index)
       if (policyOutcome_.startProbabilities[index] > 0)
@@ -78,31 +88,31 @@
       cellUses[OutcomeModel::cellOf(record_, nullptr)] += policyOutcome_.waitProbability;
   }
 
-  // `error`: the outcome minus its mean in the cross-fit model.
+  // `error` is the residual of the cross-fit model: the outcome minus its expectation.
   void addMeasure(PolicySums::MeasureSums& sums, std::size_t measure, double error) const {
     const double value = measuredOutcome(record_, measure);
     const double modelMean = models_.crossFitModel.mean(record_, chosenOption(record_), measure);
-    const double asLoggedShare = 1 - term_.reachable;
+    const double asLoggedShare = 1 - contribution_.reachable;
     const double laterWeight = record_.chosen == kWaited ? policyOutcome_.laterWeight : 1;
     sums.asLogged += asLoggedShare * laterWeight * value;
-    sums.weighted += term_.weight * value;
-    sums.designVariance += term_.designVariance;
-    sums.designVarianceOutcome += term_.designVariance * value;
-    sums.designVarianceOutcomeSquared += term_.designVariance * value * value;
+    sums.importanceWeighted += contribution_.weight * value;
+    sums.designVariance += contribution_.designVariance;
+    sums.designVarianceOutcome += contribution_.designVariance * value;
+    sums.designVarianceOutcomeSquared += contribution_.designVariance * value * value;
     sums.direct += asLoggedShare * value + expectedOutcome(models_.fullModel, measure);
     sums.doublyRobust += asLoggedShare * (modelMean + laterWeight * error) +
-                         expectedOutcome(models_.crossFitModel, measure) + term_.weight * error;
-    sums.doublyRobustVariance += term_.designVariance * error * error;
-    sums.pooledVariance += term_.expectedVariance * error * error;
-    sums.doublyRobustVarianceSquares += std::pow(term_.designVariance * error * error, 2);
+                         expectedOutcome(models_.crossFitModel, measure) + contribution_.weight * error;
+    sums.doublyRobustVariance += contribution_.designVariance * error * error;
+    sums.pooledVariance += contribution_.expectedVariance * error * error;
+    sums.doublyRobustVarianceSquares += std::pow(contribution_.designVariance * error * error, 2);
     const bool isUnusual = static_cast<Measure>(measure) == Measure::latency || value < 0.5;
-    if (term_.weight > 0 && isUnusual) sums.informativeRequests += 1;
+    if (contribution_.weight > 0 && isUnusual) sums.informativeRequests += 1;
   }
 
  private:
-  // The model's expectation over the policy's reachable actions.
+  // The expected outcome in the model, summed over the policy's reachable actions by their probabilities.
   double expectedOutcome(const OutcomeModel& outcomeModel, std::size_t measure) const {
-    const bool isReachable = term_.reachable > 0;
+    const bool isReachable = contribution_.reachable > 0;
     if (!isReachable) return 0;
     double sum = policyOutcome_.waitProbability > 0
                      ? policyOutcome_.waitProbability * outcomeModel.mean(record_, nullptr, measure)
@@ -117,7 +127,7 @@
   const DecisionRecord& record_;
   const DecisionRecord::PolicyOutcome& policyOutcome_;
   const OutcomeModels& models_;
-  const RequestTerm term_;
+  const RequestContribution contribution_;
 };
 
 void addPairs(ClassSums& sums, const std::array<double, kPolicyCount>& weights,
@@ -155,7 +165,7 @@
   for (std::size_t policy = 0; policy < kPolicyCount; ++policy) {
     const PolicyAccumulator accumulator(record, policy, models);
     PolicySums& policySums = sums.policies[policy];
-    weights[policy] = accumulator.term().weight;
+    weights[policy] = accumulator.contribution().weight;
     accumulator.addWeights(policySums);
     accumulator.addCellUses(cellUses[policy]);
     for (std::size_t measure = 0; measure < kMeasureCount; ++measure)
--- a/src/counterfactual/policy_sums.hpp
+++ b/src/counterfactual/policy_sums.hpp
@@ -10,16 +10,18 @@
 
 namespace paddletrack::counterfactual {
 
-/// By policy and by cell of the outcome model: the probability with which the policy's actions use the cell.
+/// By policy and by cell of the outcome model: the total probability with which the policy's actions use the
+/// cell.
 using CellUses = std::array<std::map<std::uint64_t, double>, kPolicyCount>;
 
-/// `crossFitModel` was fitted without the record, `fullModel` with all records.
+/// The outcome models of a record: `crossFitModel` was fitted without it, `fullModel` with all records.
 struct OutcomeModels {
   const OutcomeModel& crossFitModel;
   const OutcomeModel& fullModel;
 };
 
-/// The option at which the request started; null if it waited or started at an engine that is not recorded.
+/// Returns the option at which the request started, or null if it waited or started at an engine that is not
+/// recorded.
 const DecisionRecord::Option* chosenOption(const DecisionRecord& record);
 
 /// Adds the record to the sums of its class, and the cells that its policies use to `cellUses`.
--- a/src/counterfactual/propensity.cpp
+++ b/src/counterfactual/propensity.cpp
@@ -8,28 +8,30 @@
 namespace paddletrack::counterfactual {
 namespace {
 
-// Gauss-Legendre with 8 nodes on -1 to 1: exact to degree 15 (Abramowitz and Stegun, table 25.4).
+// Nodes above 0 and weights of the Gauss-Legendre quadrature with 8 nodes on [-1, 1], which is exact for
+// polynomials up to degree 15 (Abramowitz and Stegun, table 25.4).
 constexpr std::array<std::pair<double, double>, 4> kQuadratureNodes{
     {{0.1834346424956498, 0.3626837833783620},
      {0.5255324099163290, 0.3137066458778873},
      {0.7966664774136267, 0.2223810344533745},
      {0.9602898564975363, 0.1012285362903763}}};
-// Pieces of the integration range. With more contenders the range is divided evenly instead of at their
-// scores.
-constexpr std::size_t kMaxPieces = 24;
+// Maximum number of subintervals of the integration range. With more contenders the range is divided evenly
+// instead of at their scores.
+constexpr std::size_t kMaxIntervals = 24;
 
-// Boundaries of the integration pieces, ascending. `contenders` are ordered by score.
+// Returns the boundaries of the subintervals, ascending. `contenders` are ordered by score.
 std::vector<double> computeBreakpoints(const std::vector<double>& scores,
                                        const std::vector<std::size_t>& contenders, double minScore,
-                                       double maxReach) {
+                                       double upperBound) {
   std::vector<double> breakpoints;
-  if (contenders.size() <= kMaxPieces) {
+  if (contenders.size() <= kMaxIntervals) {
     for (const std::size_t contender : contenders) breakpoints.push_back(scores[contender]);
   } else {
-    for (std::size_t piece = 0; piece < kMaxPieces; ++piece)
-      breakpoints.push_back(minScore + (maxReach - minScore) * static_cast<double>(piece) / kMaxPieces);
+    for (std::size_t interval = 0; interval < kMaxIntervals; ++interval)
+      breakpoints.push_back(minScore +
+                            (upperBound - minScore) * static_cast<double>(interval) / kMaxIntervals);
   }
-  breakpoints.push_back(maxReach);
+  breakpoints.push_back(upperBound);
   return breakpoints;
 }
 
@@ -46,13 +48,13 @@
         survival_(contenders.size()),
         prefixProducts_(contenders.size() + 1) {}
 
-  void addPiece(double begin, double end) {
-    const double half = (end - begin) / 2;
-    const double middle = (end + begin) / 2;
-    if (half <= 0) return;
+  void integrateInterval(double begin, double end) {
+    const double halfWidth = (end - begin) / 2;
+    const double midpoint = (end + begin) / 2;
+    if (halfWidth <= 0) return;
     for (const auto& [node, weight] : kQuadratureNodes) {
-      addQuadraturePoint(middle - half * node, half * weight);
-      addQuadraturePoint(middle + half * node, half * weight);
+      addQuadraturePoint(midpoint - halfWidth * node, halfWidth * weight);
+      addQuadraturePoint(midpoint + halfWidth * node, halfWidth * weight);
     }
   }
 
@@ -88,19 +90,19 @@
   std::vector<double> probabilities(scores.size());
   if (scores.empty()) return probabilities;
   const double minScore = *std::min_element(scores.begin(), scores.end());
-  const double maxReach = minScore * (1 + jitter);
+  const double upperBound = minScore * (1 + jitter);
   std::vector<std::size_t> contenders;  // scores that can become the lowest
   for (std::size_t index = 0; index < scores.size(); ++index)
-    if (scores[index] < maxReach) contenders.push_back(index);
+    if (scores[index] < upperBound) contenders.push_back(index);
   if (contenders.size() == 1 || jitter <= 0 || minScore <= 0) {
     probabilities[contenders.empty() ? 0 : contenders.front()] = 1;
     return probabilities;
   }
   std::sort(contenders.begin(), contenders.end(), [&](auto a, auto b) { return scores[a] < scores[b]; });
-  const std::vector<double> breakpoints = computeBreakpoints(scores, contenders, minScore, maxReach);
+  const std::vector<double> breakpoints = computeBreakpoints(scores, contenders, minScore, upperBound);
   PropensityIntegrator integrator(scores, contenders, jitter, probabilities);
   for (std::size_t index = 0; index + 1 < breakpoints.size(); ++index)
-    integrator.addPiece(breakpoints[index], breakpoints[index + 1]);
+    integrator.integrateInterval(breakpoints[index], breakpoints[index + 1]);
   const double sum = std::accumulate(probabilities.begin(), probabilities.end(), 0.0);
   for (double& probability : probabilities) probability /= sum;
   return probabilities;
--- a/src/counterfactual/propensity.hpp
+++ b/src/counterfactual/propensity.hpp
@@ -1,4 +1,5 @@
-// Probabilities with which the admission module selects each candidate. No I/O, no clock, no randomness.
+// Propensities: the probabilities with which the admission module, as the logging policy, selects each
+// candidate. No I/O, no clock, no randomness.
 #pragma once
 
 #include <vector>
--- a/src/counterfactual/report.hpp
+++ b/src/counterfactual/report.hpp
@@ -15,7 +15,7 @@
     double unreachableRatio = 0;
     double effectiveSampleSize = 0;
     std::array<Estimate, kMeasureCount> value{};
-    std::array<Estimate, kMeasureCount> improvement{};  // value minus the observed mean
+    std::array<Estimate, kMeasureCount> improvement{};  // `value` minus the observed mean
   };
   struct ClassReport {
     std::string name;
@@ -26,7 +26,7 @@
   };
   struct DestinationReport {
     std::string name;
-    double requests = 0;  // that could have gone there or to another destination
+    double requests = 0;  // that could have started there or at another destination
     std::array<Estimate, kMeasureCount> regret{};
   };
   std::size_t controllers = 0;
@@ -35,7 +35,7 @@
   std::vector<DestinationReport> engines;  // by descending number of requests
   std::vector<DestinationReport> zones;
 };
-/// Only the engines with the most requests are reported.
+/// Maximum number of engines in a report. Those with the most requests are reported.
 constexpr std::size_t kMaxReportedEngines = 64;
 
 CounterfactualReport buildReport(const FleetStatistics& statistics);
--- a/src/counterfactual/summary.cpp
+++ b/src/counterfactual/summary.cpp
@@ -7,7 +7,7 @@
 namespace paddletrack::counterfactual {
 namespace {
 
-// Consecutive records in one fold of the cross-fit.
+// Number of consecutive records that belong to the same fold of the cross-fit.
 constexpr std::size_t kFoldBlockSize = 8;
 constexpr std::size_t kFoldCount = 2;
 
@@ -32,7 +32,7 @@
   }
 }
 
-// The outcome minus its expectation over all options of the request, whichever was chosen.
+// Returns the outcome minus its expectation over all options of the request, independent of the chosen one.
 std::array<double, kMeasureCount> computeDestinationErrors(const DecisionRecord& record,
                                                            const OutcomeModel& crossFitModel) {
   std::array<double, kMeasureCount> errors{};
@@ -65,9 +65,9 @@
     addDestination(summary.zones[zone], probability, chosen && chosen->zone == zone, errors);
 }
 
-// Adds the variance of the mean of the cell that `option` uses. All requests of a cell share its error, so
-// that the variance counts with the square of the cell's total use. Cells that were added are removed from
-// `cellUses`.
+// Adds the variance of the mean of the cell that `option` uses. All requests of a cell share the error of its
+// mean, so the variance is multiplied by the square of the cell's total use. Cells that were added are
+// removed from `cellUses`.
 void addDirectVariance(ClassSums& sums, const DecisionRecord& record, const DecisionRecord::Option* option,
                        const OutcomeModel& fullModel, CellUses& cellUses) {
   const std::uint64_t cellId = OutcomeModel::cellOf(record, option);
@@ -91,8 +91,8 @@
 
 Summary summarize(const std::vector<const DecisionRecord*>& records) {
   Summary summary;
-  // Cross-fitting with two folds: the model that predicts a request was not fitted to it (Chernozhukov et
-  // al., 2018).
+  // Cross-fitting with two folds: the outcome of a request is predicted by a model that was fitted without it
+  // (Chernozhukov et al., 2018).
   std::array<OutcomeModel, kFoldCount> folds;
   OutcomeModel fullModel;
   for (std::size_t index = 0; index < records.size(); ++index) {
--- a/src/counterfactual/summary.hpp
+++ b/src/counterfactual/summary.hpp
@@ -13,7 +13,7 @@
 
 namespace paddletrack::counterfactual {
 
-/// What is estimated of a policy.
+/// Outcome measure that is estimated for a policy.
 enum class Measure : std::uint8_t {
   onTime,   // ratio of requests
   latency,  // mean in seconds
@@ -23,17 +23,16 @@
 /// Sums over requests for one policy. All sums consist of doubles, so that those of two controllers or two
 /// classes are added element by element (addSums).
 struct PolicySums {
-  // Probability of actions that differ from the logged policy and that the logged policy could have taken
-  // too.
+  // Probability of actions that differ from those of the logging policy and that it could have taken too.
   double reachable = 0;
-  double unreachable = 0;  // probability of actions that the logged policy takes too rarely
+  double unreachable = 0;  // probability of actions that the logging policy takes too rarely
   double weights = 0;      // importance weights
   double squaredWeights = 0;
   double weightVariance = 0;  // design variance of `weights` - `reachable`
   struct MeasureSums {
-    double asLogged = 0;  // outcomes of actions that the logged policy shares; known, not estimated
-    double weighted = 0;  // weight x outcome
-    // Design variances: weight x (weight - probability), times 1, the outcome and its square.
+    double asLogged = 0;  // outcomes of actions shared with the logging policy; observed, not estimated
+    double importanceWeighted = 0;  // importance weight x outcome
+    // Design variances: weight x (weight - probability), multiplied by 1, by the outcome and by its square.
     double designVariance = 0;
     double designVarianceOutcome = 0;
     double designVarianceOutcomeSquared = 0;
@@ -44,7 +43,7 @@
     double doublyRobustVarianceSquares = 0;  // squares of the addends of doublyRobustVariance
     double pooledVariance = 0;  // variance of doublyRobust if all actions of a request had the same error
     double informativeRequests =
-        0;  // requests with a weight whose outcome differs from their class's usual one
+        0;  // requests with a weight above 0 whose outcome differs from the usual one of their class
   };
   std::array<MeasureSums, kMeasureCount> measures{};
 };
@@ -85,10 +84,10 @@
   std::array<MeasureSums, kMeasureCount> measures{};
 };
 
-/// Checks whether the choices agree with the recorded probabilities: sums of the residuals (chosen -
-/// probability) and their variances. Check 0 is the plain sum, check 1 is weighted by the declared cost,
-/// check 2 by the residual of the preceding request. A cause that the records lack shows here if it persists
-/// or depends on the cost.
+/// Calibration checks of the logged choices against the recorded propensities: sums of the residuals (chosen
+/// - propensity) and their variances. Check 0 is the plain sum, check 1 is weighted by the declared cost,
+/// check 2 by the residual of the preceding request. A confounder that the records lack shows in these
+/// checks if it persists or depends on the cost.
 struct CalibrationSums {
   static constexpr std::size_t kCheckCount = 3;
   double requests = 0;
--- a/tests/counterfactual/counterfactual_fleet_test.cpp
+++ b/tests/counterfactual/counterfactual_fleet_test.cpp
@@ -1,4 +1,4 @@
-// Counterfactual statistics of a fleet: processes of the program with faults between them.
+// Counterfactual statistics of a fleet of controller processes whose network has faults.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -16,7 +16,8 @@
       : GossipCluster(
             *static_cast<TestScheduler*>(this),
             {PADDLETRACK_PROGRAM, subnet, members, 1, "100ms", "10m", {}, "hindsight { records = 512 }\n"}) {}
-  // Requests in the sums: the controller's own, and those of all controllers.
+  // Number of requests in the sums of `scope`: "own" for those of the controller, "fleet" for those of all
+  // controllers. -1 if the status has none.
   double countRequests(unsigned member, const char* scope) {
     const Json statusReport = status(member);
     if (statusReport.is_null() || !statusReport.contains("hindsight")) return -1;
@@ -24,12 +25,12 @@
   }
   bool waitForFleetSum(const std::vector<unsigned>& members, double expected, milliseconds timeout = 12s) {
     return GossipCluster::waitForMembers(
-               members, [&](unsigned value) { return countRequests(value, "fleet") == expected; }, timeout)
+               members, [&](unsigned member) { return countRequests(member, "fleet") == expected; }, timeout)
         .has_value();
   }
 };
 
-TEST(CounterfactualFleetProcesses, KeepsSumsOfDeadControllerAndCountsOnceWhenMessagesAreFaulty) {
+TEST(CounterfactualFleetProcesses, KeepsSumsOfKilledControllerAndCountsOnceWhenMessagesAreFaulty) {
   CounterfactualFixture fleet(171, 3);
   NetworkFaults faults;
   faults.maxDelay = 20ms;
@@ -38,7 +39,7 @@
   faults.reorderDelay = 200ms;
   fleet.mesh.setAllFaults(faults);
   ASSERT_TRUE(fleet.start());
-  for (const unsigned allMember : fleet.allMembers()) fleet.runRequests(allMember, 10 + allMember);
+  for (const unsigned member : fleet.allMembers()) fleet.runRequests(member, 10 + member);
   ASSERT_TRUE(fleet.waitForFleetSum(fleet.allMembers(), 33)) << fleet.status(0).dump();
   EXPECT_EQ(fleet.countRequests(1, "own"), 11);
   fleet.sendSignal(0, SIGKILL);
@@ -46,12 +47,12 @@
   fleet.runRequests(1, 5);
   fleet.runRequests(2, 7);
   EXPECT_TRUE(
-      fleet.waitForFleetSum({1}, 38));  // each side has its own updates, and the sums of the dead member
+      fleet.waitForFleetSum({1}, 38));  // each side has its own updates and the sums of the killed member
   EXPECT_TRUE(fleet.waitForFleetSum({2}, 40));
   fleet.mesh.heal();
   fleet.mesh.setAllFaults(faults);
   EXPECT_TRUE(fleet.waitForFleetSum({1, 2}, 45));
-  fleet.runFor(3s);  // the same sums are published again
+  fleet.runFor(3s);  // the same sums are published repeatedly
   EXPECT_EQ(fleet.countRequests(1, "fleet"), 45);
   EXPECT_EQ(fleet.countRequests(2, "fleet"), 45);
   const auto fleetReport = fleet.status(1)["hindsight"]["fleet"];
--- a/tests/counterfactual/counterfactual_test.cpp
+++ b/tests/counterfactual/counterfactual_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the counterfactual estimates: propensities against brute force, estimates against simulated worlds
-// whose truth is known, and worlds that violate their assumptions.
+// Tests of the counterfactual estimates: propensities against simulated choices, estimates against simulated
+// environments with known outcomes of all actions, and environments that violate the assumptions.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -21,25 +21,25 @@
 RC_GTEST_PROP(PropensityProperty, MatchesSimulatedChoicesWhenScoresAreRandom, ()) {
   const auto count = *rc::gen::inRange<std::size_t>(1, 14);
   std::mt19937_64 randomEngine(*rc::gen::arbitrary<std::uint32_t>());
-  std::vector<double> scores, times(count);
+  std::vector<double> scores, frequencies(count);
   for (std::size_t index = 0; index < count; ++index) scores.push_back(1 + 0.15 * nextRandom(randomEngine));
   if (count > 3) scores[2] = scores[1];  // equal scores have equal probabilities
   constexpr int kDraws = 2000;
-  for (int sampleIndex = 0; sampleIndex < kDraws; ++sampleIndex) {
-    std::size_t best = 0;
-    double lowest = 1e9;
-    for (std::size_t item = 0; item < count; ++item)
-      if (const double randomizedScore = scores[item] * (1 + kScoreJitter * nextRandom(randomEngine));
-          randomizedScore < lowest)
-        lowest = randomizedScore, best = item;
-    times[best] += 1.0 / kDraws;
+  for (int drawIndex = 0; drawIndex < kDraws; ++drawIndex) {
+    std::size_t selectedIndex = 0;
+    double lowestScore = 1e9;
+    for (std::size_t index = 0; index < count; ++index)
+      if (const double randomizedScore = scores[index] * (1 + kScoreJitter * nextRandom(randomEngine));
+          randomizedScore < lowestScore)
+        lowestScore = randomizedScore, selectedIndex = index;
+    frequencies[selectedIndex] += 1.0 / kDraws;
   }
   const std::vector<double> propensities = computePropensities(scores);
   double sum = 0;
-  for (std::size_t item = 0; item < count; ++item) {
-    sum += propensities[item];
-    const double scatter = std::sqrt(propensities[item] * (1 - propensities[item]) / kDraws);
-    RC_ASSERT(std::abs(propensities[item] - times[item]) <= 5 * scatter + 1e-3);
+  for (std::size_t index = 0; index < count; ++index) {
+    sum += propensities[index];
+    const double standardDeviation = std::sqrt(propensities[index] * (1 - propensities[index]) / kDraws);
+    RC_ASSERT(std::abs(propensities[index] - frequencies[index]) <= 5 * standardDeviation + 1e-3);
   }
   RC_ASSERT(std::abs(sum - 1) < 1e-9);
 }
@@ -48,21 +48,21 @@
   EXPECT_EQ(computePropensities({}), std::vector<double>{});
   EXPECT_EQ(computePropensities({2, 3}), (std::vector<double>{1, 0}));  // beyond the jitter
   EXPECT_NEAR(computePropensities({1, 1.05})[1], 0.1190476,
-              1e-6);  // the integral of 1.1 - x, solved manually
-  for (const double value : computePropensities(std::vector<double>(200, 5.0)))
-    EXPECT_NEAR(value, 1 / 200.0, 1e-3);
+              1e-6);  // the integral of 1.1 - x, solved by hand
+  for (const double propensity : computePropensities(std::vector<double>(200, 5.0)))
+    EXPECT_NEAR(propensity, 1 / 200.0, 1e-3);
 }
 
-// Generates records only: three engines, one of them slow. The outcome of each request at each engine is
-// known.
-struct SimulatedWorld {
+// Generates decision records for three engines, one of which is slow. The outcome of each request at each
+// engine is known.
+struct SimulatedEnvironment {
   std::mt19937_64 generator;
   std::vector<DecisionRecord> records;
   double trueMean = 0, loggedMean = 0;
-  explicit SimulatedWorld(std::uint64_t seed) : generator(seed) {}
-  // `avoidsHiddenState`: in some stretches of requests a state that the records lack makes engine 0 bad, and
-  // the choice avoids it then, regardless of the recorded probabilities. `excludesFirstEngine`: engine 0 is
-  // never chosen.
+  explicit SimulatedEnvironment(std::uint64_t seed) : generator(seed) {}
+  // With `avoidsHiddenState`, a confounder that the records lack makes engine 0 slow for some runs of
+  // requests, and the choice then avoids it, regardless of the recorded propensities. With
+  // `excludesFirstEngine`, engine 0 is never chosen.
   void simulateRequests(int count, bool avoidsHiddenState = false, bool excludesFirstEngine = false) {
     bool firstEngineIsBad = false;
     for (int index = 0; index < count; ++index) {
@@ -114,70 +114,72 @@
   }
 };
 
-TEST(CounterfactualEstimate, CoversTrueValueInAboutNineOfTenWorldsWhenModelHolds) {
-  std::array<int, kMethodCount> held{};
-  std::array<double, kMethodCount> error{};
-  constexpr int kWorlds = 200;
-  for (std::uint64_t seed = 0; seed < kWorlds; ++seed) {
-    SimulatedWorld world(seed);
-    world.simulateRequests(600);
-    const PolicyEstimate answer = world.evaluate();
-    ASSERT_TRUE(answer.doublyRobust().isConclusive());
+TEST(CounterfactualEstimate, CoversTrueMeanInAboutNinetyPercentOfRunsWhenModelHolds) {
+  std::array<int, kMethodCount> coveredCounts{};
+  std::array<double, kMethodCount> meanErrors{};
+  constexpr int kEnvironmentCount = 200;
+  for (std::uint64_t seed = 0; seed < kEnvironmentCount; ++seed) {
+    SimulatedEnvironment environment(seed);
+    environment.simulateRequests(600);
+    const PolicyEstimate policyEstimate = environment.evaluate();
+    ASSERT_TRUE(policyEstimate.doublyRobust().isConclusive());
     for (std::size_t method = 0; method < kMethodCount; ++method) {
-      held[method] +=
-          world.trueMean >= answer.byMethod[method].low && world.trueMean <= answer.byMethod[method].high;
-      error[method] += std::abs(world.trueMean - answer.byMethod[method].value) / kWorlds;
+      coveredCounts[method] += environment.trueMean >= policyEstimate.byMethod[method].low &&
+                               environment.trueMean <= policyEstimate.byMethod[method].high;
+      meanErrors[method] +=
+          std::abs(environment.trueMean - policyEstimate.byMethod[method].value) / kEnvironmentCount;
     }
   }
   for (const std::size_t method : {0, 1, 3}) {
-    EXPECT_GE(held[method], 0.85 * kWorlds) << method;
-    EXPECT_LE(held[method], 0.96 * kWorlds) << method;
+    EXPECT_GE(coveredCounts[method], 0.85 * kEnvironmentCount) << method;
+    EXPECT_LE(coveredCounts[method], 0.96 * kEnvironmentCount) << method;
   }
-  EXPECT_LT(error[3], error[0]);
+  EXPECT_LT(meanErrors[3], meanErrors[0]);
 }
 
-// The weights do not account for a state that the records lack. The estimate is wrong, far outside of its
-// interval, and must not be reported as conclusive.
-TEST(CounterfactualEstimate, IsUnexplainedWhenHiddenStateDrivesChoice) {
-  int wrong = 0;
+// The importance weights do not account for a confounder that the records lack. The true mean is then far
+// outside of the confidence interval, and the estimate must not be reported as conclusive.
+TEST(CounterfactualEstimate, IsMiscalibratedWhenHiddenStateDrivesChoice) {
+  int wrongCount = 0;
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    SimulatedWorld world(seed);
-    world.simulateRequests(2000, true);
-    const PolicyEstimate answer = world.evaluate();
-    for (const Estimate& estimate : answer.byMethod) {
+    SimulatedEnvironment environment(seed);
+    environment.simulateRequests(2000, true);
+    const PolicyEstimate policyEstimate = environment.evaluate();
+    for (const Estimate& estimate : policyEstimate.byMethod) {
       EXPECT_EQ(estimate.verdict, Verdict::miscalibrated);
-      wrong += world.trueMean > estimate.high;
+      wrongCount += environment.trueMean > estimate.high;
     }
   }
-  EXPECT_GT(wrong, 60);  // of 80: each method is wrong
+  EXPECT_GT(wrongCount, 60);  // of 80 estimates, by all four methods
 }
 
-TEST(CounterfactualEstimate, IsOutOfReachWhenEngineIsNeverChosen) {
-  SimulatedWorld world(3);
-  world.simulateRequests(2000, false, true);
-  for (const Estimate& estimate : world.evaluate().byMethod)
+TEST(CounterfactualEstimate, IsUnreachableWhenEngineIsNeverChosen) {
+  SimulatedEnvironment environment(3);
+  environment.simulateRequests(2000, false, true);
+  for (const Estimate& estimate : environment.evaluate().byMethod)
     EXPECT_EQ(estimate.verdict, Verdict::unreachable);
 }
 
-TEST(CounterfactualEstimate, IsTooFewWhenRequestsOrLateOnesAreRare) {
-  SimulatedWorld world(4);
-  world.simulateRequests(60);
-  EXPECT_EQ(world.evaluate().doublyRobust().verdict, Verdict::tooFewRequests);
-  SimulatedWorld rare(5);  // hardly any request was late
-  rare.simulateRequests(1000);
-  for (DecisionRecord& record : rare.records) record.onTime = true;
-  EXPECT_EQ(rare.evaluate(Measure::onTime).doublyRobust().verdict, Verdict::tooFewRequests);
+TEST(CounterfactualEstimate, HasTooFewRequestsWhenAllOrLateOnesAreRare) {
+  SimulatedEnvironment environment(4);
+  environment.simulateRequests(60);
+  EXPECT_EQ(environment.evaluate().doublyRobust().verdict, Verdict::tooFewRequests);
+  SimulatedEnvironment environmentWithoutLateRequests(5);  // no request is late
+  environmentWithoutLateRequests.simulateRequests(1000);
+  for (DecisionRecord& record : environmentWithoutLateRequests.records) record.onTime = true;
+  EXPECT_EQ(environmentWithoutLateRequests.evaluate(Measure::onTime).doublyRobust().verdict,
+            Verdict::tooFewRequests);
 }
 
 TEST(CounterfactualEstimate, ShowsRegretWhenEngineIsSlow) {
-  SimulatedWorld world(6);
-  world.simulateRequests(2000);
-  std::vector<const DecisionRecord*> all;
-  for (const DecisionRecord& record : world.records) all.push_back(&record);
-  const Summary summary = summarize(all);
-  const Estimate slow = estimateRegret(summary.engines.at(0), Measure::latency, true);
-  ASSERT_TRUE(slow.isConclusive());
-  EXPECT_GT(slow.low, 0.1);  // twice the request's own time, 0.17 s on average
+  SimulatedEnvironment environment(6);
+  environment.simulateRequests(2000);
+  std::vector<const DecisionRecord*> recordPointers;
+  for (const DecisionRecord& record : environment.records) recordPointers.push_back(&record);
+  const Summary summary = summarize(recordPointers);
+  const Estimate slowEngineRegret = estimateRegret(summary.engines.at(0), Measure::latency, true);
+  ASSERT_TRUE(slowEngineRegret.isConclusive());
+  EXPECT_GT(slowEngineRegret.low, 0.1);  // the slow engine adds twice the service time, 0.17 s on average
   EXPECT_LT(estimateRegret(summary.engines.at(1), Measure::latency, true).low, 0);
 }
 
@@ -189,8 +191,8 @@
   EncodedEntry entry;
 };
 
-// Controllers publish repeatedly and some restart. Whatever values are lost, duplicated or reordered, only
-// the last values of the last incarnation of each controller are counted, and once.
+// Controllers publish repeatedly and some restart. If values are duplicated and reordered, only the last
+// values of the last incarnation of each controller are counted, and exactly once.
 RC_GTEST_PROP(CounterfactualFleetProperty, CountsLastReportOnceWhenReportsAreDuplicatedAndReordered, ()) {
   std::mt19937_64 randomEngine(*rc::gen::arbitrary<std::uint32_t>());
   const NameTable names{{"look-up"}, {"here"}, {{0, "e0"}, {1, "e1"}, {2, "e2"}}};
@@ -200,10 +202,10 @@
     const int incarnations = 1 + static_cast<int>(nextRandom(randomEngine) * 2), versions = 2;
     for (int incarnation = 1; incarnation <= incarnations; ++incarnation)
       for (int version = 1; version <= versions; ++version) {
-        SimulatedWorld world(randomEngine());
-        world.simulateRequests(3 + static_cast<int>(nextRandom(randomEngine) * 5));
+        SimulatedEnvironment environment(randomEngine());
+        environment.simulateRequests(3 + static_cast<int>(nextRandom(randomEngine) * 5));
         std::vector<const DecisionRecord*> records;
-        for (const DecisionRecord& record : world.records) records.push_back(&record);
+        for (const DecisionRecord& record : environment.records) records.push_back(&record);
         for (EncodedEntry& entry :
              encodeSummary(summarize(records), names, static_cast<std::uint64_t>(version))) {
           RC_ASSERT(entry.value.size() <= 1024U);
@@ -232,19 +234,21 @@
                                 fleetMessage.entry.value));
 }
 
-TEST(CounterfactualFleet, RefusesAndCountsReportWhenItIsMalformed) {
+TEST(CounterfactualFleet, RejectsAndCountsValueWhenItIsMalformed) {
   counterfactual::FleetStatistics fleet;
-  const EncodedEntry good = encodeSummary(Summary{}, {}, 1).front();
-  for (const std::string& bad : {std::string(), std::string("\xc1"), std::string("\x92\x01\x01"),
-                                 good.value.substr(0, good.value.size() - 1), std::string(2000, 'x')})
-    EXPECT_FALSE(fleet.mergeValue("n1", 1, "p", bad));
-  EXPECT_FALSE(fleet.mergeValue("n1", 1, "x", good.value));
-  EXPECT_FALSE(fleet.mergeValue("n1", 1, "clook-up", good.value));  // the value of another kind of key
+  const EncodedEntry validEntry = encodeSummary(Summary{}, {}, 1).front();
+  for (const std::string& malformedValue :
+       {std::string(), std::string("\xc1"), std::string("\x92\x01\x01"),
+        validEntry.value.substr(0, validEntry.value.size() - 1), std::string(2000, 'x')})
+    EXPECT_FALSE(fleet.mergeValue("n1", 1, "p", malformedValue));
+  EXPECT_FALSE(fleet.mergeValue("n1", 1, "x", validEntry.value));
+  EXPECT_FALSE(
+      fleet.mergeValue("n1", 1, "clook-up", validEntry.value));  // the value belongs to another kind of key
   EXPECT_EQ(fleet.rejectedCount(), 7U);
-  EXPECT_TRUE(fleet.mergeValue("n1", 1, good.key, good.value));
+  EXPECT_TRUE(fleet.mergeValue("n1", 1, validEntry.key, validEntry.value));
 }
 
-// ---- records of the real admission module ---------------------------------------------------------------
+// ---- records of the admission module --------------------------------------------------------------------
 
 class RecordingHost : public FakeAdmissionHost {
  public:
@@ -260,7 +264,7 @@
 };
 
 TEST(DecisionRecorder, RecordsPropensitiesMatchingChoiceFrequencyWhenEngineIsSelected) {
-  double chosen = 0, expected = 0, scatter = 0;
+  double chosenCount = 0, expectedCount = 0, variance = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     RecordingHost host;
     host.deployment.machineTypes = {{8, 0}, {7.6, 0}};
@@ -269,25 +273,25 @@
     host.updateEndpoint(0, {.machineType = 1});
     host.controller->enableDecisionTrace(true);
     for (int index = 0; index < 20; ++index) {
-      Request& job = host.submitRequest(0);
+      Request& request = host.submitRequest(0);
       host.advanceTime(20ms);
-      for (Attempt* sent : std::vector<Attempt*>(host.startedAttempts))
-        if (sent->inFlight && index % 3) host.finishAttempt(*sent);
-      host.recorder.onRequestFinished(host.now, job, true);
+      for (Attempt* attempt : std::vector<Attempt*>(host.startedAttempts))
+        if (attempt->inFlight && index % 3) host.finishAttempt(*attempt);
+      host.recorder.onRequestFinished(host.now, request, true);
     }
     for (const DecisionRecord* record : host.recorder.records(host.now)) {
       EXPECT_FALSE(record->wasDiverted);
       ASSERT_LT(record->chosen, record->optionCount);
-      for (std::size_t at = 0; at < record->optionCount; ++at) {
-        const DecisionRecord::Option& option = record->options[at];
+      for (std::size_t optionIndex = 0; optionIndex < record->optionCount; ++optionIndex) {
+        const DecisionRecord::Option& option = record->options[optionIndex];
         if (option.engine != 0) continue;
-        chosen += record->chosen == at, expected += option.startProbability;
-        scatter += option.startProbability * (1 - option.startProbability);
+        chosenCount += record->chosen == optionIndex, expectedCount += option.startProbability;
+        variance += option.startProbability * (1 - option.startProbability);
       }
     }
   }
-  EXPECT_GT(scatter, 20);
-  EXPECT_LT(std::abs(chosen - expected), 4 * std::sqrt(scatter));
+  EXPECT_GT(variance, 20);
+  EXPECT_LT(std::abs(chosenCount - expectedCount), 4 * std::sqrt(variance));
 }
 
 TEST(DecisionRecorder, DropsOldestWhenCapacityIsReached) {
@@ -295,33 +299,33 @@
   host.startController(2);
   host.controller->enableDecisionTrace(true);
   for (int index = 0; index < 200; ++index) {
-    Request& job = host.submitRequest(0, 1ms);
-    for (Attempt* sent : std::vector<Attempt*>(host.startedAttempts))
-      if (sent->inFlight) host.finishAttempt(*sent);
-    host.recorder.onRequestFinished(host.now, job, true);
+    Request& request = host.submitRequest(0, 1ms);
+    for (Attempt* attempt : std::vector<Attempt*>(host.startedAttempts))
+      if (attempt->inFlight) host.finishAttempt(*attempt);
+    host.recorder.onRequestFinished(host.now, request, true);
     host.now += 10ms;
   }
-  const auto all = host.recorder.records(host.now);
-  EXPECT_EQ(all.size(), 64U);
-  EXPECT_EQ(all.back()->arrivedAt, host.now - 10ms);
+  const auto records = host.recorder.records(host.now);
+  EXPECT_EQ(records.size(), 64U);
+  EXPECT_EQ(records.back()->arrivedAt, host.now - 10ms);
   EXPECT_EQ(host.recorder.counts().finished, 200U);
-  for (int item = 0; item < 200; ++item) host.submitRequest(1, 60s);  // open records are limited as well
+  for (int index = 0; index < 200; ++index) host.submitRequest(1, 60s);  // open records are limited as well
   EXPECT_LE(host.recorder.counts().openRecords, 64U);
   EXPECT_TRUE(host.recorder.records(host.now + 10min).empty());
 }
 
-TEST(DecisionRecorder, MarksRequestAsMovedWhenAttemptUsesOtherEngine) {
+TEST(DecisionRecorder, MarksRequestAsDivertedWhenAttemptUsesOtherEngine) {
   FakeAdmissionHost host(2);
   DecisionRecorder recorder(host.deployment, {64, 5min});
-  Request& job = host.submitRequest(0);
-  Request other;
-  other.requestClass = job.requestClass, other.deadline = 1s;
-  std::vector<Candidate> all{{&host.engines[0], 1, 1.01, 0.1, 1}, {&host.engines[1], 1, 1.05, 0.1, 1}};
-  recorder.onDecision(other, all);
-  Attempt sent;
-  sent.request = &other, sent.engine = &host.engines[1];
-  recorder.onAttemptStarted(sent);
-  recorder.onRequestFinished(100ms, other, true);
+  Request& submittedRequest = host.submitRequest(0);
+  Request divertedRequest;
+  divertedRequest.requestClass = submittedRequest.requestClass, divertedRequest.deadline = 1s;
+  std::vector<Candidate> candidates{{&host.engines[0], 1, 1.01, 0.1, 1}, {&host.engines[1], 1, 1.05, 0.1, 1}};
+  recorder.onDecision(divertedRequest, candidates);
+  Attempt attempt;
+  attempt.request = &divertedRequest, attempt.engine = &host.engines[1];
+  recorder.onAttemptStarted(attempt);
+  recorder.onRequestFinished(100ms, divertedRequest, true);
   EXPECT_TRUE(recorder.records(1s).front()->wasDiverted);
 }
 
