--- a/src/counterfactual/summary.hpp
+++ b/src/counterfactual/summary.hpp
@@ -84,9 +84,9 @@
   std::array<MeasureSums, kMeasureCount> measures{};
 };
 
-/// Calibration checks of the logged choices against the recorded propensities: sums of the residuals (chosen
-/// - propensity) and their variances. Check 0 is the plain sum, check 1 is weighted by the declared cost,
-/// check 2 by the residual of the preceding request. A confounder that the records lack shows in these
+/// Calibration checks of the logged choices against the recorded propensities: sums of the residuals
+/// (chosen - propensity) and their variances. Check 0 is the plain sum, check 1 is weighted by the declared
+/// cost, check 2 by the residual of the preceding request. A confounder that the records lack shows in these
 /// checks if it persists or depends on the cost.
 struct CalibrationSums {
   static constexpr std::size_t kCheckCount = 3;
