--- a/src/addresses/address_table.cpp
+++ b/src/addresses/address_table.cpp
@@ -7,19 +7,20 @@
 namespace paddletrack::addresses {
 namespace {
 
-// The following are multiples of the connect timeout.
-constexpr double kAttemptDelayFactor = 1.0 / 5;  // Between the starts of connects of one race.
-constexpr double kInitialBackoffFactor = 4;      // After a first failure; doubled with each further one.
+// Factors of the connect timeout.
+constexpr double kAttemptDelayFactor = 1.0 / 5;  // Between successive connect starts of a race.
+constexpr double kInitialBackoffFactor = 4;      // After the first failure; doubles with each further one.
 constexpr unsigned kMaxBackoffDoublings = 5;
-constexpr double kBackoffJitter = 0.5;  // The part of a backoff that is random.
+constexpr double kBackoffJitter = 0.5;  // Random share of a backoff.
 constexpr double kFailureExpiryFactor =
-    256;  // After the last failure, until the address is treated as unknown.
-constexpr double kMinTimeLeftFactor = 1.0 / 5;  // Least time left for which an attempt is rerouted.
+    256;  // From the last failure until the address counts as unknown again.
+constexpr double kMinTimeLeftFactor = 1.0 / 5;  // Minimum time left for rerouting an attempt.
 
-constexpr std::size_t kMaxPendingPerEngine = 8;  // Connects.
-constexpr std::size_t kConnectReserveDivisor = 4,
-                      kMinPendingConnects = 8;  // Of all connections; pending connects, at least.
-constexpr double kConnectTimeWeight = 0.25;     // Weight of the newest sample in the mean.
+constexpr std::size_t kMaxPendingPerEngine = 8;  // Pending connects to one engine.
+// Pending connects to all engines are limited to the connection limit divided by kConnectReserveDivisor, but
+// to no fewer than kMinPendingConnects.
+constexpr std::size_t kConnectReserveDivisor = 4, kMinPendingConnects = 8;
+constexpr double kConnectTimeWeight = 0.25;  // Weight of the latest sample in the moving average.
 
 Duration scaleDuration(Duration duration, double factor) {
   return Duration{static_cast<std::int64_t>(static_cast<double>(duration.count()) * factor)};
@@ -65,7 +66,7 @@
   std::size_t omittedCount = 0;
   for (const ListedAddress& listedAddress : listedAddresses) {
     const auto isSameAddress = [&](const AddressHealth& health) { return health.name == listedAddress.name; };
-    if (std::any_of(updated.begin(), updated.end(), isSameAddress)) continue;  // Listed twice.
+    if (std::any_of(updated.begin(), updated.end(), isSameAddress)) continue;  // Duplicate.
     if (updated.size() >= kMaxAddresses) {
       ++omittedCount;
       continue;
@@ -82,8 +83,8 @@
   return omittedCount;
 }
 
-// By state first. Within a state the address families alternate in order of preference, so that a family that
-// is down as a whole delays a race only once.
+// Ranks by state. Within a state the address families alternate in order of preference, so that a race is
+// delayed only once by a family of which all addresses are down.
 std::vector<std::size_t> AddressTable::rankAddresses(Duration now, const ConnectOptions& options,
                                                      bool avoidTrials) const {
   if (entries_.size() == 1) return {0};
@@ -101,7 +102,7 @@
     for (std::size_t index = 0; index < entries_.size(); ++index)
       if (evaluateState(entries_[index], now) == addressState)
         indexesByFamily[familyRank(index)].push_back(index), ++count;
-    if (addressState == AddressState::backingOff)  // The one that is due first comes first.
+    if (addressState == AddressState::backingOff)  // Earliest retry first.
       for (auto& familyIndexes : indexesByFamily)
         std::stable_sort(familyIndexes.begin(), familyIndexes.end(),
                          [&](std::size_t left, std::size_t right) {
@@ -132,7 +133,7 @@
                                  std::optional<Duration> connectTime, const ConnectOptions& options,
                                  double randomDraw) {
   AddressHealth* health = findEntry(name);
-  if (!health) return;  // It was removed meanwhile.
+  if (!health) return;  // The address has been removed from the table.
   if (outcome == ConnectOutcome::succeeded) {
     health->lastSuccessAt = now;
     health->consecutiveFailures = 0;
@@ -144,7 +145,7 @@
               : *connectTime;
     return;
   }
-  // Several connections that fail together count as one failure.
+  // Connections that fail in the same way during a backoff count as a single failure.
   const bool isRepeat =
       health->consecutiveFailures > 0 && now < health->backoffUntil && outcome == health->lastFailure;
   health->lastFailureAt = now;
@@ -228,15 +229,15 @@
   return !attempt.requestFinished && attempt.endpointAccepts && attempt.timeLeft > Duration{0};
 }
 
-// The kernel decides: a message that it has not accepted completely cannot arrive completely once the
-// connection has closed.
+// Whether the kernel accepted the whole message decides: after the connection has closed, a message that was
+// accepted only in part cannot arrive in full, so the engine cannot have executed it.
 Disposition classifyInterruption(const InterruptedAttempt& interrupted, std::size_t addressCount,
                                  const ConnectOptions& options) {
   if (interrupted.fullyWritten)
     return interrupted.connectionFaulted ? Disposition::connectionFault : Disposition::reset;
   const bool hasAlternative =
       interrupted.canBeSent &&
-      interrupted.rerouteCount + 1 < addressCount;  // canBeSent excludes engines that drain.
+      interrupted.rerouteCount + 1 < addressCount;  // canBeSent is false if the engine drains.
   return hasAlternative && interrupted.timeLeft > scaleDuration(options.connectTimeout, kMinTimeLeftFactor)
              ? Disposition::reroute
              : Disposition::unreachable;
--- a/src/discovery/reconnect_schedule.cpp
+++ b/src/discovery/reconnect_schedule.cpp
@@ -7,18 +7,18 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kHeartbeatInterval{1000};  // Of the service: the longest time between lines.
+constexpr milliseconds kHeartbeatInterval{1000};  // Longest interval between lines from the service.
 constexpr Duration kSilenceTimeout =
-    kHeartbeatInterval * 3 / 2;               // Without a line the session counts as dead.
-constexpr unsigned kMaxTimeoutDoublings = 2;  // Of the silence timeout, for the first line of a session.
-constexpr Duration kMinWaitDuration = kHeartbeatInterval / 10;  // After a session has ended.
+    kHeartbeatInterval * 3 / 2;               // A session without a line for so long has failed.
+constexpr unsigned kMaxTimeoutDoublings = 2;  // Of the silence timeout before a session's first line.
+constexpr Duration kMinWaitDuration = kHeartbeatInterval / 10;  // Minimum wait after a session.
 constexpr Duration kMaxWaitDuration =
-    kHeartbeatInterval * 4 / 5;      // Where waits are not spread by the number of controllers.
-constexpr int kJitterGrowth = 3;     // The greatest ratio of a wait to the one before.
-constexpr int kExpediteDivisor = 4;  // An expedited wait has at most this part left.
+    kHeartbeatInterval * 4 / 5;      // Upper bound unless the spread window requires longer waits.
+constexpr int kJitterGrowth = 3;     // Maximum ratio of a wait to the previous one.
+constexpr int kExpediteDivisor = 4;  // Expediting cuts the remaining wait at least by this factor.
 
-// Neighbouring controllers often have neighbouring seeds, whose first draws would be close as well. These are
-// the last steps of splitmix64.
+// Scrambles the seed with the final steps of splitmix64: controllers often have consecutive seeds, whose
+// first draws would otherwise be close to each other.
 std::minstd_rand::result_type scrambleSeed(std::uint64_t seed) {
   seed += 0x9e3779b97f4a7c15;
   seed = (seed ^ (seed >> 30)) * 0xbf58476d1ce4e5b9;
@@ -47,10 +47,10 @@
       std::uniform_int_distribution<Duration::rep>(min.count(), std::max(min, max).count())(random_)};
 }
 
-// The timeout grows for a service that is slow because many controllers read their first list. A controller
-// that knows a list must not wait long: the load that an engine has without this controller's knowledge
-// counts as reported after 7 s, so one silent session, two unsuccessful connects and the waits between them
-// must together be shorter than that.
+// The timeout grows because a service may be slow while many controllers read their first endpoint list. A
+// controller that has a list must not wait long: a change counts as visible to all controllers after 7 s,
+// whether or not it was received, so one silent session, two failed connects and the waits between them must
+// together take less than that.
 Duration ReconnectSchedule::silenceTimeout() const {
   const unsigned doublings =
       consecutiveUnresponsive_ > 0 && hasKnownList_ ? consecutiveUnresponsive_ - 1 : consecutiveUnresponsive_;
@@ -67,10 +67,10 @@
   nextConnectAt_ = now;
 }
 
-// Successive waits are drawn between a minimum and three times the last wait (decorrelated jitter), so that
-// controllers that failed together scatter. With half a window at least and two windows at most, all
-// controllers together stay near their target rate. After a session with valid data all may have been
-// disconnected together, so they spread over the whole window.
+// Each wait is drawn between a minimum and three times the previous wait (decorrelated jitter), so that
+// controllers that failed together spread out. Waits of at least half a window and at most two windows keep
+// all controllers together near the target rate. After a session with valid data, all controllers may have
+// lost their session at once, so the wait is drawn from the whole window.
 void ReconnectSchedule::onSessionEnded(Duration now, SessionEnd sessionEnd, bool hasEndpointList) {
   const Duration window = this->spreadWindow(hasEndpointList);
   const Duration minWait = std::max(kMinWaitDuration, window / 2);
--- a/src/drain/completion_estimator.cpp
+++ b/src/drain/completion_estimator.cpp
@@ -36,8 +36,8 @@
   }
 }
 
-// Compares the request with the earlier ones of its class that took longer than its present age. A request
-// that is older than all of them has its timeout as the estimate: nothing better is known.
+// Uses the earlier requests of the same class that took longer than the request's current age. The estimate
+// of a request that is older than all of them is its timeout, for lack of comparable requests.
 CompletionEstimator::Estimate CompletionEstimator::estimateRequest(const OpenRequest& request) const {
   const DurationHistogram& histogram = histograms_[request.classIndex];
   std::uint64_t longerCount = 0;
--- a/src/drain/completion_estimator.hpp
+++ b/src/drain/completion_estimator.hpp
@@ -11,33 +11,33 @@
 using Duration = std::chrono::microseconds;
 
 /// Estimates when the open requests will be completed, from the latencies of earlier requests of their class.
-/// The caller passes times and latencies; there is no clock inside.
+/// Reads no clock: the caller passes times and latencies.
 class CompletionEstimator {
  public:
   explicit CompletionEstimator(std::size_t classCount) : histograms_(classCount) {}
 
-  /// Records a request that was completed.
+  /// Records the latency of a completed request.
   void recordCompletion(std::size_t classIndex, Duration latency);
 
   /// A request without a final response.
   struct OpenRequest {
     std::size_t classIndex = 0;
     Duration age{0};
-    Duration remaining{0};  // Until the request times out.
+    Duration remaining{0};  // Until its timeout.
   };
   struct Estimate {
     Duration remaining{0};  // Until the last open request is completed.
-    // Latencies behind the estimate of that request. 0: there were none, and its timeout is the estimate.
+    // Latencies on which the estimate is based; 0 if there were none and it is the request's timeout.
     std::uint64_t sampleCount = 0;
   };
-  /// The share of comparable requests that were completed within the estimate.
+  /// The quantile of the latencies of comparable requests that is used as the estimate.
   static constexpr double kQuantile = 0.9;
-  /// Returns none if nothing is open.
+  /// Returns std::nullopt if `openRequests` is empty.
   std::optional<Estimate> estimateCompletion(const std::vector<OpenRequest>& openRequests) const;
 
  private:
-  // Latencies in exponential buckets, four to a doubling, from a millisecond on. All counts are halved when
-  // there are kMaxSamples, so that recent latencies weigh more.
+  // Latencies in exponential buckets, four per doubling, starting at 1 ms. All counts are halved when there
+  // are kMaxSamples, so that recent latencies have more weight.
   static constexpr std::size_t kBucketCount = 96;
   static constexpr std::uint32_t kMaxSamples = 4096;
   struct DurationHistogram {
--- a/src/drain/drain_state_machine.cpp
+++ b/src/drain/drain_state_machine.cpp
@@ -7,26 +7,26 @@
 
 using std::chrono::milliseconds;
 
-// Without heartbeats there may be no front layer, or one that is late: the time to notice is multiplied.
+// Multiplies the notice duration if no heartbeat has arrived: the front layer may be late, or there is none.
 constexpr int kNoHeartbeatNoticeFactor = 2;
-// The time, in multiples of the time to notice, for responses to be sent after the deadline. A client that
-// reads more slowly does not hold up the drain.
+// Time after the deadline for sending responses, in multiples of the notice duration. A client that reads
+// more slowly does not delay the drain further.
 constexpr int kFlushNoticeFactor = 1;
 
-// In a planned restart connections and requests still arrive for a while after SIGTERM. SIGKILL follows, at
-// the earliest, after the longest request timeout (up to kMaxRequestWaitDuration) and
+// In a planned restart, connections and requests continue to arrive for a while after SIGTERM. SIGKILL
+// follows no earlier than after the longest request timeout (up to kMaxRequestWaitDuration) plus
 // kShutdownReserveDuration.
 constexpr milliseconds kTrailingTrafficDuration{760};
 constexpr milliseconds kMaxRequestWaitDuration{3000};
 constexpr milliseconds kShutdownReserveDuration{700};
 constexpr milliseconds kShutdownMarginDuration{300};
-// The part of the margin in which connections are half-closed and their last input is read.
+// Part of the margin during which connections are half-closed and their remaining input is read.
 constexpr milliseconds kHalfCloseDuration{150};
 
 constexpr Duration kPollInterval =
-    milliseconds(5);  // Between two calls of advance() that wait for something.
-// A call that is late by more than this shows that the process was stalled: what arrived meanwhile has not
-// been read yet.
+    milliseconds(5);  // Interval between calls of advance() while a condition is pending.
+// A call that is later than this indicates that the process was stalled and has not yet read the input that
+// arrived in the meantime.
 constexpr Duration kStallThresholdDuration = kPollInterval * 4;
 constexpr Duration kStallRecoveryDuration = kPollInterval * 8;
 
@@ -49,7 +49,7 @@
   if (isNewDrain) startDrain(now, work);
   if (deadline) progress_->deadline = now + *deadline;
   if (retryAfter) progress_->retryAfter = *retryAfter;
-  // Of the drain's deadline and the end of the process, the earlier one applies.
+  // The earlier of the drain deadline and the response deadline of the shutdown applies.
   if (exitDeadline_) progress_->deadline = std::min(progress_->deadline, *responseDeadline());
   return DrainError::none;
 }
@@ -105,7 +105,7 @@
   return isRejecting ? std::optional(progress_->retryAfter) : std::nullopt;
 }
 
-// The front layer has noticed one notice duration after the first unhealthy heartbeat.
+// The front layer is expected to react within one notice duration of the first unhealthy heartbeat.
 Duration DrainStateMachine::stopAcceptingAt() const {
   const Duration noticedAt =
       progress_->firstUnhealthyAt
@@ -158,7 +158,7 @@
 
 std::optional<Duration> DrainStateMachine::nextAdvanceAt(Duration now) const {
   std::optional<Duration> nextAt;
-  const auto scheduleAt = [&](Duration instant) { nextAt = nextAt ? std::min(*nextAt, instant) : instant; };
+  const auto scheduleAt = [&](Duration time) { nextAt = nextAt ? std::min(*nextAt, time) : time; };
   if (state_ == State::comingBack)
     scheduleAt(stateEnteredAt_ + options_.noticeDuration * kNoHeartbeatNoticeFactor);
   if (state_ == State::leaving) scheduleAt(stopAcceptingAt());
--- a/src/drain/rolling_drain.cpp
+++ b/src/drain/rolling_drain.cpp
@@ -27,15 +27,15 @@
     phase_ = Phase::finished;
     return {Action::finished, currentIndex_};
   }
-  // A drain starts only while all controllers serve: two must never be out at once.
+  // A drain starts only while all controllers serve, so that no two are ever out of service at once.
   for (std::size_t index = 0; index < observations_.size(); ++index) {
     if (isServing(index)) continue;
     const ControllerObservation& observation = observations_[index];
     if (observation.state == "coming-back" && now < phaseStartedAt_ + options_.resumeTimeout)
       return {Action::wait, index};
     currentIndex_ = index;
-    return rollBack(
-        now, observation.reachable ? "it is " + observation.state + ", not serving" : "it does not answer");
+    return rollBack(now, observation.reachable ? "expected state 'serving', found '" + observation.state + "'"
+                                               : "controller does not respond");
   }
   previousDrainNumber_ = observations_[currentIndex_].drainNumber;
   previousProcessId_ = observations_[currentIndex_].processId;
@@ -48,11 +48,12 @@
 RollingDrain::Step RollingDrain::awaitDrained(Duration now) {
   const ControllerObservation& current = observations_[currentIndex_];
   if (current.reachable && current.processId != previousProcessId_)
-    return rollBack(now, "it was started anew while it drained");
+    return rollBack(now, "controller restarted during its drain");
   const bool isOwnDrain = current.reachable && current.drainNumber == previousDrainNumber_ + 1;
-  if (isOwnDrain && current.deadlineMissed) return rollBack(now, "its deadline found jobs open");
+  if (isOwnDrain && current.deadlineMissed)
+    return rollBack(now, "requests were still open at the drain deadline");
   if (isOwnDrain && (current.state == "coming-back" || current.state == "serving"))
-    return rollBack(now, "somebody cancelled its drain");
+    return rollBack(now, "drain was cancelled by another client");
   if (isOwnDrain && current.state == "drained") {
     enterPhase(Phase::inMaintenance, now);
     if (options_.hasMaintenance) return {Action::runMaintenance, currentIndex_};
@@ -60,14 +61,14 @@
     return awaitMaintenance(now);
   }
   if (now >= phaseStartedAt_ + options_.drainTimeout + options_.graceDuration)
-    return rollBack(
-        now, current.reachable ? "it is not drained in time" : "it stopped answering while it drained");
+    return rollBack(now, current.reachable ? "drain did not finish in time"
+                                           : "controller stopped responding during its drain");
   return {Action::wait, currentIndex_};
 }
 
 RollingDrain::Step RollingDrain::awaitMaintenance(Duration now) {
   if (!maintenanceSucceeded_) return {Action::wait, currentIndex_};
-  if (!*maintenanceSucceeded_) return rollBack(now, "what was to be done to it failed");
+  if (!*maintenanceSucceeded_) return rollBack(now, "maintenance command failed");
   enterPhase(Phase::resuming, now);
   return awaitServing(now);
 }
@@ -79,8 +80,9 @@
     enterPhase(Phase::ready, now);
     return startNext(now);
   }
-  if (now >= phaseStartedAt_ + options_.resumeTimeout) return rollBack(now, "it does not serve again");
-  // A restarted controller serves by itself; one that was not restarted has to be asked, once.
+  if (now >= phaseStartedAt_ + options_.resumeTimeout)
+    return rollBack(now, "controller did not return to service in time");
+  // A restarted controller serves without a command; the drain of one that did not restart is cancelled once.
   const ControllerObservation& current = observations_[currentIndex_];
   const bool isSameProcess = current.reachable && current.processId == previousProcessId_;
   if (isSameProcess && !cancelRequested_ && (current.state == "drained" || current.state == "ending")) {
@@ -94,16 +96,17 @@
   if (!isServing(currentIndex_) && now < phaseStartedAt_ + options_.resumeTimeout)
     return {Action::wait, currentIndex_};
   phase_ = Phase::finished;
-  if (!isServing(currentIndex_)) failureReason_ += "; and it could not be brought back";
+  if (!isServing(currentIndex_))
+    failureReason_ += "; controller did not return to service after the drain was cancelled";
   return {Action::failed, currentIndex_};
 }
 
-// After a failure the controller that is out is brought back, and no further one is touched.
+// After a failure, returns the drained controller to service and drains no further controllers.
 RollingDrain::Step RollingDrain::rollBack(Duration now, std::string reason) {
   failureReason_ = std::move(reason);
-  const bool isControllerOut = phase_ != Phase::ready;
-  enterPhase(isControllerOut ? Phase::rollingBack : Phase::finished, now);
-  return {isControllerOut ? Action::cancelDrain : Action::failed, currentIndex_};
+  const bool isOutOfService = phase_ != Phase::ready;
+  enterPhase(isOutOfService ? Phase::rollingBack : Phase::finished, now);
+  return {isOutOfService ? Action::cancelDrain : Action::failed, currentIndex_};
 }
 
 void RollingDrain::enterPhase(Phase phase, Duration now) {
--- a/src/drain/rolling_drain.hpp
+++ b/src/drain/rolling_drain.hpp
@@ -9,26 +9,26 @@
 
 namespace paddletrack::drain {
 
-/// What a controller's admin server last reported.
+/// The state last reported by a controller's admin server.
 struct ControllerObservation {
   bool reachable = false;
-  std::string state;              // As nameOf() writes it.
-  std::uint64_t drainNumber = 0;  // Of its latest drain; 0: there was none.
+  std::string state;              // As returned by nameOf().
+  std::uint64_t drainNumber = 0;  // Of its latest drain; 0 if there was none.
   bool deadlineMissed = false;    // Of that drain.
   std::uint64_t processId = 0;
 };
 
-/// Drains several controllers in turn, one at a time, and stops at the first that fails. There is no I/O and
-/// no clock inside: the caller passes observations and times and performs the steps that are returned.
+/// Drains several controllers one at a time and stops at the first failure. Performs no I/O and reads no
+/// clock: the caller passes observations and times and performs the returned steps.
 class RollingDrain {
  public:
   struct Options {
     Duration drainTimeout{std::chrono::seconds(20)};  // The deadline of each drain.
-    // After the deadline, for the controller to report that it is drained.
+    // Time after the deadline for the controller to report that it is drained.
     Duration graceDuration{std::chrono::seconds(2)};
-    // After the drain and the maintenance, for the controller to serve again.
+    // Time after the drain and the maintenance for the controller to return to service.
     Duration resumeTimeout{std::chrono::seconds(30)};
-    bool hasMaintenance = false;  // Maintenance of each drained controller, which may restart it.
+    bool hasMaintenance = false;  // Run maintenance on each drained controller, which may restart it.
   };
   RollingDrain(std::size_t controllerCount, const Options& options)
       : options_(options), observations_(controllerCount) {}
@@ -36,7 +36,7 @@
   void recordObservation(std::size_t controllerIndex, ControllerObservation observation) {
     observations_[controllerIndex] = std::move(observation);
   }
-  /// The maintenance of the drained controller has ended.
+  /// Reports that the maintenance of the drained controller has ended.
   void onMaintenanceFinished(bool succeeded) { maintenanceSucceeded_ = succeeded; }
 
   enum class Action { wait, startDrain, runMaintenance, cancelDrain, finished, failed };
@@ -44,16 +44,16 @@
     Action action = Action::wait;
     std::size_t controllerIndex = 0;
   };
-  /// Returns what to do now. Each step is to be performed once; its effect is reported by recordObservation()
-  /// or onMaintenanceFinished().
+  /// Returns the next step. The caller performs each step once and reports its effect with
+  /// recordObservation() or onMaintenanceFinished().
   Step advance(Duration now);
 
-  /// The number of controllers that were drained and serve again.
+  /// The number of controllers that were drained and have returned to service.
   std::size_t completedCount() const { return completedCount_; }
   const std::string& failureReason() const { return failureReason_; }
 
  private:
-  // One function for each phase.
+  // One function per phase.
   Step startNext(Duration now);
   Step awaitDrained(Duration now);
   Step awaitMaintenance(Duration now);
--- a/tests/addresses/address_failover_test.cpp
+++ b/tests/addresses/address_failover_test.cpp
@@ -1,5 +1,5 @@
-// Engines with several addresses: fakes that listen on IPv4, IPv6 and Unix sockets, and each way in which one
-// of these can fail.
+// Tests failover between the addresses of an engine: fake engines listen on IPv4, IPv6 and Unix sockets, and
+// each address fails in every supported way.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 #include <unistd.h>
@@ -23,7 +23,8 @@
 using transport::Address;
 using Fault = FakeEngine::Fault;
 
-constexpr auto kConnectTimeout = 100ms;  // As in the settings below; connects of a race start 20 ms apart.
+constexpr auto kConnectTimeout =
+    100ms;  // As in the settings below; successive connects of a race start 20 ms apart.
 
 struct AddressFixture : TestScheduler {
   explicit AddressFixture(std::size_t connectionLimit = 40, const std::string& settings = "")
@@ -45,7 +46,7 @@
     event.entries.push_back(entry);
     router.onEndpointUpdate(event);
   }
-  // Runs one request to its end and returns the time that it took, in ms.
+  // Runs one request to completion and returns its duration in ms.
   double runRequestMs(std::size_t kindIndex = 0) {
     const std::size_t requestIndex = loadGenerator.send(kindIndex, 0);
     runUntil(
@@ -101,348 +102,364 @@
 };
 
 TEST(AddressFailover, ConnectsAtOnceWhenOnlyOneAddressAcceptsConnections) {
-  for (int good = 0; good < 3; ++good) {
-    AddressFixture front;
-    const std::vector<std::string> all{front.unixAddress, front.ipv6Address, front.ipv4Address};
-    FakeEngine executor(front, front.outputBudget, Address(all[static_cast<std::size_t>(good)]));
-    front.updateEndpoint(all);
-    EXPECT_LT(front.runRequestMs(2), 15) << good;
-    EXPECT_EQ(front.lastOutcome, Reply::Outcome::completed) << front.logText;
-    EXPECT_LT(front.runRequestMs(2), 15) << good;
-    EXPECT_EQ(executor.runCount(), 2U);
-    EXPECT_EQ(executor.duplicateRunCount(), 0U);
-    EXPECT_EQ(front.hasLogged("unreachable"), false);
+  for (int workingIndex = 0; workingIndex < 3; ++workingIndex) {
+    AddressFixture fixture;
+    const std::vector<std::string> addresses{fixture.unixAddress, fixture.ipv6Address, fixture.ipv4Address};
+    FakeEngine engine(fixture, fixture.outputBudget,
+                      Address(addresses[static_cast<std::size_t>(workingIndex)]));
+    fixture.updateEndpoint(addresses);
+    EXPECT_LT(fixture.runRequestMs(2), 15) << workingIndex;
+    EXPECT_EQ(fixture.lastOutcome, Reply::Outcome::completed) << fixture.logText;
+    EXPECT_LT(fixture.runRequestMs(2), 15) << workingIndex;
+    EXPECT_EQ(engine.runCount(), 2U);
+    EXPECT_EQ(engine.duplicateRunCount(), 0U);
+    EXPECT_EQ(fixture.hasLogged("unreachable"), false);
   }
 }
 
 TEST(AddressFailover, DelaysOneStaggerAndDemotesAddressWhenConnectIsUnanswered) {
-  AddressFixture front;
-  const UnresponsiveListener mute(Address(front.ipv6Address));
-  FakeEngine executor(front, front.outputBudget, Address(front.ipv4Address));
-  front.updateEndpoint({front.ipv6Address, front.ipv4Address});
-  const double first = front.runRequestMs(2);
-  EXPECT_EQ(front.lastOutcome, Reply::Outcome::completed) << front.logText;
-  EXPECT_GE(first, 19);
-  EXPECT_LT(first, 40);
-  EXPECT_TRUE(front.hasLogged("no answer"));
-  executor.disconnect();
-  front.runFor(5ms);
-  EXPECT_LT(front.runRequestMs(2), 15);
+  AddressFixture fixture;
+  const UnresponsiveListener unresponsiveListener(Address(fixture.ipv6Address));
+  FakeEngine engine(fixture, fixture.outputBudget, Address(fixture.ipv4Address));
+  fixture.updateEndpoint({fixture.ipv6Address, fixture.ipv4Address});
+  const double firstMs = fixture.runRequestMs(2);
+  EXPECT_EQ(fixture.lastOutcome, Reply::Outcome::completed) << fixture.logText;
+  EXPECT_GE(firstMs, 19);
+  EXPECT_LT(firstMs, 40);
+  EXPECT_TRUE(fixture.hasLogged("no answer"));
+  engine.disconnect();
+  fixture.runFor(5ms);
+  EXPECT_LT(fixture.runRequestMs(2), 15);
 }
 
 TEST(AddressFailover, FailsUnsafeRequestAndAvoidsAddressWhenItAcceptsButNeverResponds) {
-  AddressFixture front;
-  FakeEngine executor(front, front.outputBudget, Address(front.ipv4Address));
-  const std::size_t stalls = executor.addAddress(Address(front.unixAddress));
-  executor.setFault(stalls, Fault::unresponsive);
-  front.updateEndpoint({front.unixAddress, front.ipv4Address});
-  front.runRequestMs(2);  // It was fully written: it may have been executed and is not retried.
-  EXPECT_EQ(front.lastOutcome, Reply::Outcome::failed);
-  EXPECT_EQ(executor.runCount(), 0U);
-  EXPECT_TRUE(front.hasLogged("silent"));
-  EXPECT_LT(front.runRequestMs(2), 60) << front.logText;
-  EXPECT_EQ(front.lastOutcome, Reply::Outcome::completed);
-  EXPECT_EQ(executor.runCount(), 1U);
+  AddressFixture fixture;
+  FakeEngine engine(fixture, fixture.outputBudget, Address(fixture.ipv4Address));
+  const std::size_t unresponsiveIndex = engine.addAddress(Address(fixture.unixAddress));
+  engine.setFault(unresponsiveIndex, Fault::unresponsive);
+  fixture.updateEndpoint({fixture.unixAddress, fixture.ipv4Address});
+  fixture.runRequestMs(2);  // Fully written: it may have been executed and is not retried.
+  EXPECT_EQ(fixture.lastOutcome, Reply::Outcome::failed);
+  EXPECT_EQ(engine.runCount(), 0U);
+  EXPECT_TRUE(fixture.hasLogged("silent"));
+  EXPECT_LT(fixture.runRequestMs(2), 60) << fixture.logText;
+  EXPECT_EQ(fixture.lastOutcome, Reply::Outcome::completed);
+  EXPECT_EQ(engine.runCount(), 1U);
 }
 
-// The kernel accepts a part of a long statement for a process that reads nothing: the attempt is rerouted.
+// The engine reads nothing, so the kernel accepts only a part of a long statement: the attempt is rerouted.
 TEST(AddressFailover, MovesAttemptToOtherAddressWhenMessageIsOnlyPartlyWritten) {
-  for (const std::size_t kind : {0U, 1U, 2U}) {
-    AddressFixture front;
-    FakeEngine executor(front, front.outputBudget, Address(front.ipv4Address));
-    const std::size_t stalls = executor.addAddress(Address(front.unixAddress));
-    executor.setFault(stalls, Fault::unresponsive);
-    front.updateEndpoint({front.unixAddress, front.ipv4Address});
-    std::vector<LoadGenerator::RequestProfile> kinds(
+  for (const std::size_t profileIndex : {0U, 1U, 2U}) {
+    AddressFixture fixture;
+    FakeEngine engine(fixture, fixture.outputBudget, Address(fixture.ipv4Address));
+    const std::size_t unresponsiveIndex = engine.addAddress(Address(fixture.unixAddress));
+    engine.setFault(unresponsiveIndex, Fault::unresponsive);
+    fixture.updateEndpoint({fixture.unixAddress, fixture.ipv4Address});
+    std::vector<LoadGenerator::RequestProfile> profiles(
         3, {"", "", 1, 1ms, 1ms, 4000ms, std::string(5 << 20, 'x')});
-    kinds[0].requestClass = "again", kinds[1].requestClass = "keyed", kinds[2].requestClass = "once";
-    front.loadGenerator.start(0, kinds);
-    front.loadGenerator.send(kind, 0);
-    front.runUntil([&] { return front.loadGenerator.counters().open == 0; }, 3000ms);
-    EXPECT_TRUE(front.hasLogged("silent")) << front.logText;
-    EXPECT_TRUE(front.router.formatCounts().find("1 dispatches moved") != std::string::npos)
-        << front.router.formatCounts();
-    EXPECT_EQ(executor.askCountAt(stalls), 0U);
-    EXPECT_EQ(executor.askCountAt(0), 1U);
-    EXPECT_EQ(front.loadGenerator.requests()[0].outcome, Reply::Outcome::completed) << kind << front.logText;
+    profiles[0].requestClass = "again", profiles[1].requestClass = "keyed", profiles[2].requestClass = "once";
+    fixture.loadGenerator.start(0, profiles);
+    fixture.loadGenerator.send(profileIndex, 0);
+    fixture.runUntil([&] { return fixture.loadGenerator.counters().open == 0; }, 3000ms);
+    EXPECT_TRUE(fixture.hasLogged("silent")) << fixture.logText;
+    EXPECT_TRUE(fixture.router.formatCounts().find("1 dispatches moved") != std::string::npos)
+        << fixture.router.formatCounts();
+    EXPECT_EQ(engine.askCountAt(unresponsiveIndex), 0U);
+    EXPECT_EQ(engine.askCountAt(0), 1U);
+    EXPECT_EQ(fixture.loadGenerator.requests()[0].outcome, Reply::Outcome::completed)
+        << profileIndex << fixture.logText;
   }
 }
 
 TEST(AddressFailover, RetriesOnlyIdempotentRequestWhenConnectionIsResetAfterSend) {
   for (const Fault fault : {Fault::resetOnAccept, Fault::resetOnAsk, Fault::partialAnswer})
-    for (const std::size_t kind : {0U, 2U}) {
-      AddressFixture front;
-      FakeEngine executor(front, front.outputBudget, Address(front.ipv4Address));
-      const std::size_t bad = executor.addAddress(Address(front.unixAddress));
-      executor.setFault(bad, fault);
-      front.updateEndpoint({front.unixAddress, front.ipv4Address});
-      front.runRequestMs(kind);
-      const bool again = kind == 0;
-      EXPECT_EQ(front.lastOutcome, again ? Reply::Outcome::completed : Reply::Outcome::failed)
-          << static_cast<int>(fault) << front.logText;
-      EXPECT_LT(front.runRequestMs(2), 130);
-      EXPECT_EQ(front.lastOutcome, Reply::Outcome::completed) << static_cast<int>(fault) << front.logText;
-      EXPECT_LE(executor.duplicateRunCount(), again ? 1U : 0U);
+    for (const std::size_t profileIndex : {0U, 2U}) {
+      AddressFixture fixture;
+      FakeEngine engine(fixture, fixture.outputBudget, Address(fixture.ipv4Address));
+      const std::size_t faultyIndex = engine.addAddress(Address(fixture.unixAddress));
+      engine.setFault(faultyIndex, fault);
+      fixture.updateEndpoint({fixture.unixAddress, fixture.ipv4Address});
+      fixture.runRequestMs(profileIndex);
+      const bool isIdempotent = profileIndex == 0;
+      EXPECT_EQ(fixture.lastOutcome, isIdempotent ? Reply::Outcome::completed : Reply::Outcome::failed)
+          << static_cast<int>(fault) << fixture.logText;
+      EXPECT_LT(fixture.runRequestMs(2), 130);
+      EXPECT_EQ(fixture.lastOutcome, Reply::Outcome::completed) << static_cast<int>(fault) << fixture.logText;
+      EXPECT_LE(engine.duplicateRunCount(), isIdempotent ? 1U : 0U);
     }
 }
 
 TEST(AddressFailover, FinishesOpenAttemptsAndSendsNoNewOnesWhenAddressIsDelisted) {
-  AddressFixture front;
-  FakeEngine executor(front, front.outputBudget, Address(front.ipv4Address));
-  const std::size_t old = executor.addAddress(Address(front.unixAddress));
-  front.loadGenerator.start(0, {{"once", "", 1, 150ms, 150ms, 4000ms}, {"again", "", 1, 1ms, 1ms, 4000ms}});
-  front.updateEndpoint({front.unixAddress, front.ipv4Address});
-  front.loadGenerator.send(0, 0);
-  front.runFor(50ms);
-  EXPECT_EQ(executor.askCountAt(old), 1U);
-  front.updateEndpoint({front.ipv4Address});
-  front.runRequestMs(1);
-  EXPECT_EQ(executor.askCountAt(old), 1U);
-  EXPECT_EQ(executor.askCountAt(0), 1U);
-  front.runUntil([&] { return front.loadGenerator.counters().open == 0; }, 1000ms);
-  EXPECT_EQ(front.loadGenerator.requests()[0].outcome, Reply::Outcome::completed);
-  EXPECT_EQ(executor.duplicateRunCount(), 0U);
-  front.updateEndpoint({front.unixAddress}, "s-2", false);  // The address belongs to another engine now.
-  front.updateEndpoint({front.ipv4Address}, "s-1", false);
-  EXPECT_LT(front.runRequestMs(1), 30);
+  AddressFixture fixture;
+  FakeEngine engine(fixture, fixture.outputBudget, Address(fixture.ipv4Address));
+  const std::size_t delistedIndex = engine.addAddress(Address(fixture.unixAddress));
+  fixture.loadGenerator.start(0, {{"once", "", 1, 150ms, 150ms, 4000ms}, {"again", "", 1, 1ms, 1ms, 4000ms}});
+  fixture.updateEndpoint({fixture.unixAddress, fixture.ipv4Address});
+  fixture.loadGenerator.send(0, 0);
+  fixture.runFor(50ms);
+  EXPECT_EQ(engine.askCountAt(delistedIndex), 1U);
+  fixture.updateEndpoint({fixture.ipv4Address});
+  fixture.runRequestMs(1);
+  EXPECT_EQ(engine.askCountAt(delistedIndex), 1U);
+  EXPECT_EQ(engine.askCountAt(0), 1U);
+  fixture.runUntil([&] { return fixture.loadGenerator.counters().open == 0; }, 1000ms);
+  EXPECT_EQ(fixture.loadGenerator.requests()[0].outcome, Reply::Outcome::completed);
+  EXPECT_EQ(engine.duplicateRunCount(), 0U);
+  fixture.updateEndpoint({fixture.unixAddress}, "s-2", false);  // The address belongs to another engine now.
+  fixture.updateEndpoint({fixture.ipv4Address}, "s-1", false);
+  EXPECT_LT(fixture.runRequestMs(1), 30);
 }
 
 TEST(AddressFailover, RetriesOnOtherAddressUnlessNotIdempotentWhenAddressVanishesInFlight) {
-  for (const std::size_t kind : {0U, 1U, 2U}) {
-    AddressFixture front;
-    FakeEngine executor(front, front.outputBudget, Address(front.ipv4Address));
-    const std::size_t gone = executor.addAddress(Address(front.unixAddress));
-    std::vector<LoadGenerator::RequestProfile> kinds(3, {"", "", 1, 120ms, 120ms, 4000ms});
-    kinds[0].requestClass = "again", kinds[1].requestClass = "keyed", kinds[2].requestClass = "once";
-    front.loadGenerator.start(0, kinds);
-    front.updateEndpoint({front.unixAddress, front.ipv4Address});
-    front.loadGenerator.send(kind, 0);
-    front.runFor(40ms);
-    executor.closeAddress(gone);
-    ::unlink(front.unixAddress.substr(5).c_str());
-    front.runUntil([&] { return front.loadGenerator.counters().open == 0; }, 3000ms);
-    EXPECT_EQ(front.loadGenerator.requests()[0].outcome,
-              kind == 2 ? Reply::Outcome::failed : Reply::Outcome::completed)
-        << kind;
-    EXPECT_EQ(executor.duplicateRunCount(), 0U);  // The first was interrupted before it was complete.
-    EXPECT_EQ(executor.askCountAt(0), kind == 2 ? 0U : 1U);
+  for (const std::size_t profileIndex : {0U, 1U, 2U}) {
+    AddressFixture fixture;
+    FakeEngine engine(fixture, fixture.outputBudget, Address(fixture.ipv4Address));
+    const std::size_t closedIndex = engine.addAddress(Address(fixture.unixAddress));
+    std::vector<LoadGenerator::RequestProfile> profiles(3, {"", "", 1, 120ms, 120ms, 4000ms});
+    profiles[0].requestClass = "again", profiles[1].requestClass = "keyed", profiles[2].requestClass = "once";
+    fixture.loadGenerator.start(0, profiles);
+    fixture.updateEndpoint({fixture.unixAddress, fixture.ipv4Address});
+    fixture.loadGenerator.send(profileIndex, 0);
+    fixture.runFor(40ms);
+    engine.closeAddress(closedIndex);
+    ::unlink(fixture.unixAddress.substr(5).c_str());
+    fixture.runUntil([&] { return fixture.loadGenerator.counters().open == 0; }, 3000ms);
+    EXPECT_EQ(fixture.loadGenerator.requests()[0].outcome,
+              profileIndex == 2 ? Reply::Outcome::failed : Reply::Outcome::completed)
+        << profileIndex;
+    EXPECT_EQ(engine.duplicateRunCount(), 0U);  // The first execution was interrupted.
+    EXPECT_EQ(engine.askCountAt(0), profileIndex == 2 ? 0U : 1U);
   }
 }
 
-// A request that may be retried is the trial that finds a failed, preferred address working again.
+// An idempotent request serves as the trial that detects the recovery of a failed, preferred address.
 TEST(AddressFailover, ReusesPreferredAddressWhenItRecovers) {
-  AddressFixture front;
-  FakeEngine executor(front, front.outputBudget, Address(front.ipv4Address));
-  front.updateEndpoint({front.unixAddress, front.ipv4Address});
-  front.runRequestMs(0);
-  const std::size_t back = executor.addAddress(Address(front.unixAddress));
-  EXPECT_TRUE(front.runUntil(
+  AddressFixture fixture;
+  FakeEngine engine(fixture, fixture.outputBudget, Address(fixture.ipv4Address));
+  fixture.updateEndpoint({fixture.unixAddress, fixture.ipv4Address});
+  fixture.runRequestMs(0);
+  const std::size_t recoveredIndex = engine.addAddress(Address(fixture.unixAddress));
+  EXPECT_TRUE(fixture.runUntil(
       [&] {
-        executor.disconnect();  // Open connections would be used again.
-        front.runRequestMs(0);
-        return executor.askCountAt(back) > 0;
+        engine.disconnect();  // Open connections would be reused.
+        fixture.runRequestMs(0);
+        return engine.askCountAt(recoveredIndex) > 0;
       },
       3000ms));
-  EXPECT_EQ(front.lastOutcome, Reply::Outcome::completed);
-  EXPECT_EQ(front.loadGenerator.counters().answersByOutcome[0], front.loadGenerator.counters().sent);
+  EXPECT_EQ(fixture.lastOutcome, Reply::Outcome::completed);
+  EXPECT_EQ(fixture.loadGenerator.counters().answersByOutcome[0], fixture.loadGenerator.counters().sent);
 }
 
 TEST(AddressFailover, RejectsRequestAndLaterRecoversWhenAllAddressesFail) {
-  AddressFixture front;
-  front.updateEndpoint({front.unixAddress, front.ipv6Address, front.ipv4Address});
-  EXPECT_LT(front.runRequestMs(2), 800);
-  EXPECT_EQ(front.lastOutcome, Reply::Outcome::rejected) << front.logText;
-  FakeEngine executor(front, front.outputBudget, Address(front.ipv6Address));
-  EXPECT_TRUE(front.runUntil(
-      [&] { return front.runRequestMs(0) > 0 && front.lastOutcome == Reply::Outcome::completed; }, 8000ms));
+  AddressFixture fixture;
+  fixture.updateEndpoint({fixture.unixAddress, fixture.ipv6Address, fixture.ipv4Address});
+  EXPECT_LT(fixture.runRequestMs(2), 800);
+  EXPECT_EQ(fixture.lastOutcome, Reply::Outcome::rejected) << fixture.logText;
+  FakeEngine engine(fixture, fixture.outputBudget, Address(fixture.ipv6Address));
+  EXPECT_TRUE(fixture.runUntil(
+      [&] { return fixture.runRequestMs(0) > 0 && fixture.lastOutcome == Reply::Outcome::completed; },
+      8000ms));
 }
 
-// Rule 3: an attempt that waits for a connection or a reroute does not reach an engine that drains by then.
+// Rule 3: an attempt that waits for a connection or a reroute is not sent to an engine that has started to
+// drain.
 TEST(AddressFailover, RejectsWithoutTryingOtherAddressWhenEngineDrains) {
-  for (const bool dialling : {true, false}) {
-    AddressFixture front;
-    std::optional<UnresponsiveListener> mute;
-    if (dialling) mute.emplace(Address(front.ipv6Address));
-    FakeEngine executor(front, front.outputBudget, Address(front.ipv4Address));
-    const std::string first = dialling ? front.ipv6Address : front.unixAddress;
-    if (!dialling) executor.setFault(executor.addAddress(Address(front.unixAddress)), Fault::unresponsive);
-    front.loadGenerator.start(0,
-                              {{"once", "", 1, 1ms, 1ms, 4000ms, std::string(dialling ? 10 : 5 << 20, 'x')}});
-    front.updateEndpoint({first, front.ipv4Address});
-    front.loadGenerator.send(0, 0);
-    front.runUntil([&] { return front.router.attemptsInFlight() > 0; }, 500ms);
-    front.runFor(5ms);
-    front.updateEndpoint({first, front.ipv4Address}, "s-1", false, paddletrack::EndpointState::draining);
-    front.runUntil([&] { return front.loadGenerator.counters().open == 0; }, 4500ms);
-    EXPECT_EQ(front.loadGenerator.requests()[0].outcome, Reply::Outcome::rejected) << front.logText;
-    EXPECT_EQ(executor.askCount(), 0U);
+  for (const bool isConnecting : {true, false}) {
+    AddressFixture fixture;
+    std::optional<UnresponsiveListener> unresponsiveListener;
+    if (isConnecting) unresponsiveListener.emplace(Address(fixture.ipv6Address));
+    FakeEngine engine(fixture, fixture.outputBudget, Address(fixture.ipv4Address));
+    const std::string firstAddress = isConnecting ? fixture.ipv6Address : fixture.unixAddress;
+    if (!isConnecting) engine.setFault(engine.addAddress(Address(fixture.unixAddress)), Fault::unresponsive);
+    fixture.loadGenerator.start(
+        0, {{"once", "", 1, 1ms, 1ms, 4000ms, std::string(isConnecting ? 10 : 5 << 20, 'x')}});
+    fixture.updateEndpoint({firstAddress, fixture.ipv4Address});
+    fixture.loadGenerator.send(0, 0);
+    fixture.runUntil([&] { return fixture.router.attemptsInFlight() > 0; }, 500ms);
+    fixture.runFor(5ms);
+    fixture.updateEndpoint({firstAddress, fixture.ipv4Address}, "s-1", false,
+                           paddletrack::EndpointState::draining);
+    fixture.runUntil([&] { return fixture.loadGenerator.counters().open == 0; }, 4500ms);
+    EXPECT_EQ(fixture.loadGenerator.requests()[0].outcome, Reply::Outcome::rejected) << fixture.logText;
+    EXPECT_EQ(engine.askCount(), 0U);
   }
 }
 
-// Connects beside the first of a race count as connections, for each holds a descriptor. With one connection
-// busy and one left, an engine whose connects all hang holds one descriptor, not two; and an engine with a
-// healthy second address is still reached.
+// Every connect of a race after the first counts towards the connection limit, because it holds a descriptor.
+// With one connection in use and one left, an engine whose connects all hang holds one descriptor, not two,
+// and an engine with a healthy second address can still be reached.
 TEST(AddressFailover, LimitsConnectRaceWhenConnectionLimitIsReached) {
-  for (const bool good : {false, true}) {
-    AddressFixture front(2);
-    const UnresponsiveListener six(Address(front.ipv6Address));
-    std::optional<UnresponsiveListener> mute;
-    std::optional<FakeEngine> executor;
-    if (good)
-      executor.emplace(front, front.outputBudget, Address(front.ipv4Address));
+  for (const bool hasWorkingAddress : {false, true}) {
+    AddressFixture fixture(2);
+    const UnresponsiveListener ipv6Listener(Address(fixture.ipv6Address));
+    std::optional<UnresponsiveListener> ipv4Listener;
+    std::optional<FakeEngine> engine;
+    if (hasWorkingAddress)
+      engine.emplace(fixture, fixture.outputBudget, Address(fixture.ipv4Address));
     else
-      mute.emplace(Address(front.ipv4Address));
-    FakeEngine busy(front, front.outputBudget, Address("127.0.84.2:18443"));
-    front.loadGenerator.start(0,
-                              {{"again", "", 1, 900ms, 900ms, 4000ms}, {"again", "", 1, 1ms, 1ms, 4000ms}});
-    front.updateEndpoint({"127.0.84.2:18443"}, "s-2", false);
-    front.loadGenerator.send(0, 0);
-    front.runUntil([&] { return busy.openAskCount() == 1; }, 500ms);
-    front.updateEndpoint({front.ipv6Address, front.ipv4Address}, "s-1", false);
-    const auto open = [] {
+      ipv4Listener.emplace(Address(fixture.ipv4Address));
+    FakeEngine busyEngine(fixture, fixture.outputBudget, Address("127.0.84.2:18443"));
+    fixture.loadGenerator.start(0,
+                                {{"again", "", 1, 900ms, 900ms, 4000ms}, {"again", "", 1, 1ms, 1ms, 4000ms}});
+    fixture.updateEndpoint({"127.0.84.2:18443"}, "s-2", false);
+    fixture.loadGenerator.send(0, 0);
+    fixture.runUntil([&] { return busyEngine.openAskCount() == 1; }, 500ms);
+    fixture.updateEndpoint({fixture.ipv6Address, fixture.ipv4Address}, "s-1", false);
+    const auto countDescriptors = [] {
       std::size_t count = 0;
-      for (const auto& item : std::filesystem::directory_iterator("/proc/self/fd"))
-        count += item.path().empty() ? 0 : 1;
+      for (const auto& entry : std::filesystem::directory_iterator("/proc/self/fd"))
+        count += entry.path().empty() ? 0 : 1;
       return count;
     };
-    const std::size_t before = open();
-    const std::size_t job = front.loadGenerator.send(1, 0);
-    std::size_t most = 0;
-    front.runUntil([&] { return most = std::max(most, open()), false; }, 80ms);  // Shorter than the race.
-    front.runUntil([&] { return front.loadGenerator.requests()[job].answerCount > 0; }, 3000ms);
-    EXPECT_EQ(front.loadGenerator.requests()[job].outcome, Reply::Outcome::completed) << front.logText;
-    EXPECT_EQ(most, before + (good ? 2 : 1)) << front.logText;  // Both ends of a second connection.
-    EXPECT_TRUE(front.hasLogged("no answer"));
-    EXPECT_EQ(good && executor->runCount() == 1, good);
+    const std::size_t descriptorsBefore = countDescriptors();
+    const std::size_t requestIndex = fixture.loadGenerator.send(1, 0);
+    std::size_t peakDescriptors = 0;
+    fixture.runUntil([&] { return peakDescriptors = std::max(peakDescriptors, countDescriptors()), false; },
+                     80ms);  // Shorter than the race's timeout.
+    fixture.runUntil([&] { return fixture.loadGenerator.requests()[requestIndex].answerCount > 0; }, 3000ms);
+    EXPECT_EQ(fixture.loadGenerator.requests()[requestIndex].outcome, Reply::Outcome::completed)
+        << fixture.logText;
+    EXPECT_EQ(peakDescriptors, descriptorsBefore + (hasWorkingAddress ? 2 : 1))
+        << fixture.logText;  // Both ends of a second connection.
+    EXPECT_TRUE(fixture.hasLogged("no answer"));
+    EXPECT_EQ(hasWorkingAddress && engine->runCount() == 1, hasWorkingAddress);
   }
 }
 
-// An address that is known to stall does not answer the probe when it is tried again: the race goes on after
-// one delay, and no attempt has been sent there.
+// A suspect address does not respond to the probe of its retry: the race continues after one delay, without
+// having sent an attempt to that address.
 TEST(AddressFailover, DelaysOneStaggerWhenRetriedAddressStallsAgain) {
-  AddressFixture front;
-  FakeEngine executor(front, front.outputBudget, Address(front.ipv4Address));
-  const std::size_t stalls = executor.addAddress(Address(front.unixAddress));
-  front.updateEndpoint({front.unixAddress, front.ipv4Address});
-  front.runRequestMs(0);
-  executor.setFault(stalls, Fault::unresponsive);
-  front.loadGenerator.send(0, 0);
-  EXPECT_TRUE(front.runUntil([&] { return front.hasLogged("silent"); }, 2000ms));
-  EXPECT_TRUE(front.runUntil([&] { return front.loadGenerator.counters().open == 0; }, 5000ms));
-  front.runRequestMs(0);
-  front.runFor(700ms);  // Its backoff is over.
-  executor.disconnect();
-  front.runFor(5ms);
-  const double took = front.runRequestMs(0);
-  EXPECT_EQ(front.lastOutcome, Reply::Outcome::completed);
-  EXPECT_GE(took, 19);
-  EXPECT_LT(took, 60);
+  AddressFixture fixture;
+  FakeEngine engine(fixture, fixture.outputBudget, Address(fixture.ipv4Address));
+  const std::size_t unresponsiveIndex = engine.addAddress(Address(fixture.unixAddress));
+  fixture.updateEndpoint({fixture.unixAddress, fixture.ipv4Address});
+  fixture.runRequestMs(0);
+  engine.setFault(unresponsiveIndex, Fault::unresponsive);
+  fixture.loadGenerator.send(0, 0);
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.hasLogged("silent"); }, 2000ms));
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.loadGenerator.counters().open == 0; }, 5000ms));
+  fixture.runRequestMs(0);
+  fixture.runFor(700ms);  // Its backoff is over.
+  engine.disconnect();
+  fixture.runFor(5ms);
+  const double requestMs = fixture.runRequestMs(0);
+  EXPECT_EQ(fixture.lastOutcome, Reply::Outcome::completed);
+  EXPECT_GE(requestMs, 19);
+  EXPECT_LT(requestMs, 60);
 }
 
-// Something else listens at the path, or the mode of the socket denies access to this user.
+// Another program listens on the socket path, or the socket's mode denies access to this user.
 TEST(AddressFailover, UsesOtherAddressWhenUnixSocketIsForeignOrForbidden) {
-  AddressFixture front;
-  FakeEngine executor(front, front.outputBudget, Address(front.ipv4Address)),
-      other(front, front.outputBudget, Address(front.unixAddress));
-  other.onCommand = [](FakeEngine&, transport::Connection& to, const std::string&, const std::string&) {
-    to.send({transport::BufferSlice::fromStatic("HTTP/1.1 400 Bad Request\r\n\r\n")});
+  AddressFixture fixture;
+  FakeEngine engine(fixture, fixture.outputBudget, Address(fixture.ipv4Address)),
+      foreignServer(fixture, fixture.outputBudget, Address(fixture.unixAddress));
+  foreignServer.onCommand = [](FakeEngine&, transport::Connection& connection, const std::string&,
+                               const std::string&) {
+    connection.send({transport::BufferSlice::fromStatic("HTTP/1.1 400 Bad Request\r\n\r\n")});
   };
-  front.updateEndpoint({front.unixAddress, front.ipv4Address});
-  front.runRequestMs(0);
-  EXPECT_EQ(front.lastOutcome, Reply::Outcome::completed) << front.logText;
-  EXPECT_LT(front.runRequestMs(2), 60);
-  EXPECT_EQ(front.lastOutcome, Reply::Outcome::completed);
-  EXPECT_TRUE(front.hasLogged("reset early")) << front.logText;
+  fixture.updateEndpoint({fixture.unixAddress, fixture.ipv4Address});
+  fixture.runRequestMs(0);
+  EXPECT_EQ(fixture.lastOutcome, Reply::Outcome::completed) << fixture.logText;
+  EXPECT_LT(fixture.runRequestMs(2), 60);
+  EXPECT_EQ(fixture.lastOutcome, Reply::Outcome::completed);
+  EXPECT_TRUE(fixture.hasLogged("reset early")) << fixture.logText;
   if (::geteuid() != 0) return;  // Only root can drop to a user that has no access.
-  const std::string shut = front.unixAddress + "-shut";
-  FakeEngine kept(front, front.outputBudget, Address(shut)),
-      open(front, front.outputBudget, Address("127.0.84.3:18443"));
-  ::chmod(shut.substr(5).c_str(), 0600);
-  ::chmod(front.folder.path().c_str(), 0755);
-  front.updateEndpoint({shut, "127.0.84.3:18443"}, "s-3", true);
+  const std::string forbiddenAddress = fixture.unixAddress + "-shut";
+  FakeEngine forbiddenEngine(fixture, fixture.outputBudget, Address(forbiddenAddress)),
+      openEngine(fixture, fixture.outputBudget, Address("127.0.84.3:18443"));
+  ::chmod(forbiddenAddress.substr(5).c_str(), 0600);
+  ::chmod(fixture.folder.path().c_str(), 0755);
+  fixture.updateEndpoint({forbiddenAddress, "127.0.84.3:18443"}, "s-3", true);
   ASSERT_EQ(::seteuid(65534), 0);
-  front.runRequestMs(2);
+  fixture.runRequestMs(2);
   ASSERT_EQ(::seteuid(0), 0);
-  EXPECT_EQ(front.lastOutcome, Reply::Outcome::completed) << front.logText;
-  EXPECT_TRUE(front.hasLogged("Permission denied")) << front.logText;
-  EXPECT_EQ(kept.askCount(), 0U);
+  EXPECT_EQ(fixture.lastOutcome, Reply::Outcome::completed) << fixture.logText;
+  EXPECT_TRUE(fixture.hasLogged("Permission denied")) << fixture.logText;
+  EXPECT_EQ(forbiddenEngine.askCount(), 0U);
 }
 
-// Rule 4: an engine that warms up gets no more than its part over several addresses, whichever serves.
+// Rule 4: a warming-up engine gets no more than its warm-up budget, however many addresses it has and
+// whichever of them serves.
 TEST(AddressFailover, KeepsWarmupBudgetWhenEngineHasSeveralAddresses) {
-  AddressFixture front(
+  AddressFixture fixture(
       40, "rules.coldUs=60000000\nrules.startCapacity=0.03\nrules.fallMultiple=3\nrules.fallUs=2000000\n");
-  const UnresponsiveListener mute(Address(front.ipv6Address));
-  FakeEngine executor(front, front.outputBudget, Address(front.ipv4Address));
-  front.loadGenerator.start(0, {{"again", "", 1, 300ms, 300ms, 4000ms}});
+  const UnresponsiveListener unresponsiveListener(Address(fixture.ipv6Address));
+  FakeEngine engine(fixture, fixture.outputBudget, Address(fixture.ipv4Address));
+  fixture.loadGenerator.start(0, {{"again", "", 1, 300ms, 300ms, 4000ms}});
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
-  front.updateEndpoint({front.unixAddress, front.ipv6Address, front.ipv4Address}, "s-1", true,
-                       paddletrack::EndpointState::ready, now.count());
-  for (int index = 0; index < 60; ++index) front.loadGenerator.send(0, 0);
-  front.runFor(250ms);
-  // 0.03 x 64 cores x 2 s x 3, half of it for safety: 5.76 s of work, in requests of 0.8 s while no duration
-  // is known.
-  EXPECT_GT(executor.askCount(), 0U);
-  EXPECT_LE(executor.askCount(), 7U);
-  front.runUntil([&] { return front.loadGenerator.counters().open == 0; }, 5000ms);
-  EXPECT_EQ(front.loadGenerator.counters().lost + front.loadGenerator.counters().duplicateAnswers, 0U);
+  fixture.updateEndpoint({fixture.unixAddress, fixture.ipv6Address, fixture.ipv4Address}, "s-1", true,
+                         paddletrack::EndpointState::ready, now.count());
+  for (int index = 0; index < 60; ++index) fixture.loadGenerator.send(0, 0);
+  fixture.runFor(250ms);
+  // 0.03 x 64 cores x 2 s x 3, halved as a safety margin, is 5.76 s of work; a request counts as 0.8 s as
+  // long as no duration has been measured.
+  EXPECT_GT(engine.askCount(), 0U);
+  EXPECT_LE(engine.askCount(), 7U);
+  fixture.runUntil([&] { return fixture.loadGenerator.counters().open == 0; }, 5000ms);
+  EXPECT_EQ(fixture.loadGenerator.counters().lost + fixture.loadGenerator.counters().duplicateAnswers, 0U);
 }
 
-// One address family fails for all engines at once: each request is delayed by one refusal or one race delay,
-// none fails, and attempts on the other families continue.
+// One address family fails on all engines at once: no request fails, each is delayed by at most one refused
+// connect or one race delay, and attempts over the other families continue.
 TEST(AddressFailover, ServesAllRequestsWhenOneAddressFamilyFailsOnAllEngines) {
-  AddressFixture front;
-  std::vector<std::unique_ptr<FakeEngine>> executors;
+  AddressFixture fixture;
+  std::vector<std::unique_ptr<FakeEngine>> engines;
   for (int index = 1; index <= 6; ++index) {
-    const std::string four = "127.0.84." + std::to_string(10 + index) + ":18443",
-                      local = front.unixAddress + std::to_string(index);
-    executors.push_back(std::make_unique<FakeEngine>(front, front.outputBudget, Address(four)));
-    executors.back()->addAddress(Address(local));
-    front.updateEndpoint({local, four}, "s-" + std::to_string(index), false);
+    const std::string ipv4Address = "127.0.84." + std::to_string(10 + index) + ":18443",
+                      unixAddress = fixture.unixAddress + std::to_string(index);
+    engines.push_back(std::make_unique<FakeEngine>(fixture, fixture.outputBudget, Address(ipv4Address)));
+    engines.back()->addAddress(Address(unixAddress));
+    fixture.updateEndpoint({unixAddress, ipv4Address}, "s-" + std::to_string(index), false);
   }
-  for (int item = 0; item < 30; ++item) front.loadGenerator.send(2, 0);
-  EXPECT_TRUE(front.runUntil([&] { return front.loadGenerator.counters().open == 0; }, 1000ms));
-  for (const auto& executor : executors) executor->closeAddress(1);
-  for (int element = 0; element < 60; ++element) front.loadGenerator.send(2, 0);
-  EXPECT_TRUE(front.runUntil([&] { return front.loadGenerator.counters().open == 0; }, 1000ms));
-  EXPECT_EQ(front.loadGenerator.counters().answersByOutcome[0], 90U) << front.logText;
-  for (const auto& executor : executors) EXPECT_EQ(executor->duplicateRunCount(), 0U);
+  for (int index = 0; index < 30; ++index) fixture.loadGenerator.send(2, 0);
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.loadGenerator.counters().open == 0; }, 1000ms));
+  for (const auto& engine : engines) engine->closeAddress(1);
+  for (int index = 0; index < 60; ++index) fixture.loadGenerator.send(2, 0);
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.loadGenerator.counters().open == 0; }, 1000ms));
+  EXPECT_EQ(fixture.loadGenerator.counters().answersByOutcome[0], 90U) << fixture.logText;
+  for (const auto& engine : engines) EXPECT_EQ(engine->duplicateRunCount(), 0U);
 }
 
-// An address goes up and down faster than its health expires: no request is delayed by more than one race
-// delay, and none is lost.
+// An address goes up and down faster than its health record expires: no request is lost or delayed by more
+// than one race delay.
 TEST(AddressFailover, LosesNoRequestWhenAddressFlaps) {
-  AddressFixture front;
-  FakeEngine executor(front, front.outputBudget, Address(front.ipv4Address));
-  front.updateEndpoint({front.unixAddress, front.ipv4Address});
+  AddressFixture fixture;
+  FakeEngine engine(fixture, fixture.outputBudget, Address(fixture.ipv4Address));
+  fixture.updateEndpoint({fixture.unixAddress, fixture.ipv4Address});
   for (int index = 0; index < 30; ++index) {
-    std::optional<FakeEngine> flapping;
-    if (index % 2 == 0) flapping.emplace(front, front.outputBudget, Address(front.unixAddress));
-    EXPECT_LT(front.runRequestMs(0), 60) << index;
-    EXPECT_EQ(front.lastOutcome, Reply::Outcome::completed) << index << front.logText;
-    flapping.reset();
-    ::unlink(front.unixAddress.substr(5).c_str());
-    if (index % 3 == 0) executor.disconnect();
-    front.runFor(20ms);
+    std::optional<FakeEngine> flappingEngine;
+    if (index % 2 == 0) flappingEngine.emplace(fixture, fixture.outputBudget, Address(fixture.unixAddress));
+    EXPECT_LT(fixture.runRequestMs(0), 60) << index;
+    EXPECT_EQ(fixture.lastOutcome, Reply::Outcome::completed) << index << fixture.logText;
+    flappingEngine.reset();
+    ::unlink(fixture.unixAddress.substr(5).c_str());
+    if (index % 3 == 0) engine.disconnect();
+    fixture.runFor(20ms);
   }
-  EXPECT_EQ(front.loadGenerator.counters().lost + front.loadGenerator.counters().duplicateAnswers, 0U);
+  EXPECT_EQ(fixture.loadGenerator.counters().lost + fixture.loadGenerator.counters().duplicateAnswers, 0U);
 }
 
 TEST(AddressFailover, LogsInvalidAddressesAndServesThroughValidOneWhenListIsMixed) {
-  AddressFixture front;
-  std::ofstream(front.unixAddress.substr(5)) << "no socket";
-  FakeEngine executor(front, front.outputBudget, Address(front.ipv4Address));
-  std::vector<std::string> all{
-      front.unixAddress, "unix:relative",  "host.example:80", "[::1", "", "unix:/" + std::string(200, 'x'),
-      front.ipv4Address, front.ipv4Address};
-  for (int index = 2; index < 64; ++index) all.push_back("127.0.83." + std::to_string(index) + ":18443");
-  front.updateEndpoint(all);
-  EXPECT_LT(front.runRequestMs(0), 40);
-  EXPECT_EQ(front.lastOutcome, Reply::Outcome::completed);
-  for (const char* character :
+  AddressFixture fixture;
+  std::ofstream(fixture.unixAddress.substr(5)) << "no socket";
+  FakeEngine engine(fixture, fixture.outputBudget, Address(fixture.ipv4Address));
+  std::vector<std::string> addresses{fixture.unixAddress,
+                                     "unix:relative",
+                                     "host.example:80",
+                                     "[::1",
+                                     "",
+                                     "unix:/" + std::string(200, 'x'),
+                                     fixture.ipv4Address,
+                                     fixture.ipv4Address};
+  for (int index = 2; index < 64; ++index)
+    addresses.push_back("127.0.83." + std::to_string(index) + ":18443");
+  fixture.updateEndpoint(addresses);
+  EXPECT_LT(fixture.runRequestMs(0), 40);
+  EXPECT_EQ(fixture.lastOutcome, Reply::Outcome::completed);
+  for (const char* fragment :
        {"unix:relative", "host.example:80", "'[::1'", "107 bytes at most", "48 addresses too many"})
-    EXPECT_TRUE(front.hasLogged(character)) << character << front.logText;
+    EXPECT_TRUE(fixture.hasLogged(fragment)) << fragment << fixture.logText;
 }
 
 TEST(EndpointEvent, ParsesAddressListAndRejectsNonArrayWhenEventIsRead) {
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -408,7 +408,8 @@
   roll[2] = "600ms";
   const CommandRun missed(run, roll);
   EXPECT_EQ(missed.exitCode, 3) << missed.output;
-  EXPECT_TRUE(missed.hasOutput("its deadline found jobs open (1 of 3 done)")) << missed.output;
+  EXPECT_TRUE(missed.hasOutput("requests were still open at the drain deadline (1 of 3 done)"))
+      << missed.output;
   EXPECT_TRUE(run.runUntil([&] { return run.loadGenerator->isInService(1); }, 2s));
   EXPECT_EQ(most, 1U);
   over = true;
--- a/tests/discovery/endpoint_watcher_test.cpp
+++ b/tests/discovery/endpoint_watcher_test.cpp
@@ -1,5 +1,6 @@
-// The watch on the list of engines: the follower against list services that fall silent, lag, lie or go, and
-// processes whose list is away while idle clients hold every descriptor, or while they are killed.
+// Tests the endpoint watcher with discovery services that fall silent, lag behind, send invalid data or stop,
+// and controller processes without a discovery service, while idle clients hold all descriptors or
+// controllers are killed and restarted.
 #include "routing/endpoint_watcher.hpp"
 
 #include <gtest/gtest.h>
@@ -21,31 +22,33 @@
 using namespace std::chrono_literals;
 using discovery::Duration;
 using discovery::ReconnectSchedule;
-using End = ReconnectSchedule::SessionEnd;
+using SessionEnd = ReconnectSchedule::SessionEnd;
 using fakes::FakeEndpointList;
 
-// Of 127.NET/256.NET%256.0/24, one for this process: runs beside each other do not meet.
+// Selects a subnet 127.N/256.N%256.0/24 for this process, so that parallel runs do not share addresses.
 int networkNumber() { return 170 * 256 + ::getpid() % 4096; }
 std::string hostAddress(unsigned host) {
   return "127." + std::to_string(networkNumber() / 256) + "." + std::to_string(networkNumber() % 256) + "." +
          std::to_string(host) + ":18443";
 }
 
-// What the list has to tell counts as told so long after, whether or not it arrived.
+// Time after which a change of the endpoint list counts as visible to controllers, whether or not it was
+// received.
 constexpr Duration kVisibilityLimit{7s};
-constexpr Duration kConnectTimeout{1s};  // until a dial that never comes up is given up
+constexpr Duration kConnectTimeout{1s};  // Timeout of a connect that is never established.
 
-// ---- the module -----------------------------------------------------------------------------------------
+// ---- ReconnectSchedule ----------------------------------------------------------------------------------
 
-// A session falls silent; the next ones end so, and the one after them tells at once. From the last line on.
-Duration reconnectTime(std::uint64_t seed, const std::vector<End>& endings) {
+// A session falls silent and the next ones end as given in `endings`. Returns the time from the last line of
+// the silent session to the start of the connect after them, which succeeds at once.
+Duration reconnectTime(std::uint64_t seed, const std::vector<SessionEnd>& endings) {
   ReconnectSchedule schedule({}, true, seed, Duration{0});
   schedule.onSessionData();
   Duration now = schedule.silenceTimeout();
-  schedule.onSessionEnded(now, End::receivedData, true);
-  for (const End ending : endings) {
+  schedule.onSessionEnded(now, SessionEnd::receivedData, true);
+  for (const SessionEnd ending : endings) {
     now = schedule.nextConnectAt() +
-          (ending == End::unresponsive ? schedule.silenceTimeout() : kConnectTimeout);
+          (ending == SessionEnd::unresponsive ? schedule.silenceTimeout() : kConnectTimeout);
     schedule.onSessionEnded(now, ending, true);
   }
   return schedule.nextConnectAt();
@@ -54,35 +57,37 @@
 TEST(ReconnectSchedule, ReconnectsWithinVisibilityLimitWhenTwoConnectsFail) {
   Duration longest{0};
   for (std::uint64_t seed = 0; seed < 2000; ++seed)
-    for (const auto& next : std::vector<std::vector<End>>{{End::unresponsive, End::unresponsive},
-                                                          {End::unresponsive, End::unreachable},
-                                                          {End::unreachable, End::unresponsive},
-                                                          {End::unreachable, End::unreachable}})
-      longest = std::max(longest, reconnectTime(seed, next));
-  EXPECT_LE(longest, kVisibilityLimit - Duration(500ms));  // the rest is for the way there and back
+    for (const auto& endings :
+         std::vector<std::vector<SessionEnd>>{{SessionEnd::unresponsive, SessionEnd::unresponsive},
+                                              {SessionEnd::unresponsive, SessionEnd::unreachable},
+                                              {SessionEnd::unreachable, SessionEnd::unresponsive},
+                                              {SessionEnd::unreachable, SessionEnd::unreachable}})
+      longest = std::max(longest, reconnectTime(seed, endings));
+  EXPECT_LE(longest, kVisibilityLimit - Duration(500ms));  // The rest is reserved for the round trip.
 }
 
-// ---- the follower ---------------------------------------------------------------------------------------
+// ---- EndpointWatcher ------------------------------------------------------------------------------------
 
-const std::string kSiteSettings =
+const std::string kControllerSettings =
     "balancers=1\nzones=hall\nmachineTypes=std-8\nfamilyInfo.kindCores=8\nprofiles.count=1\nprofiles.0.name="
     "q\n"
     "profiles.0.idempotency=retryable\nprofiles.0.onTimeUs=400000\nprofiles.0.giveUpUs=2000000\n"
     "limits.mostTries=3\nlimits.streamsPerConn=4\nlimits.dialTimeoutUs=20000\nlimits.idleCloseUs=400000\n"
     "tickUs=5000\n";
 
-std::vector<FakeEndpointList::Endpoint> makeServers(unsigned count, const std::string& state = "active") {
-  std::vector<FakeEndpointList::Endpoint> servers;
-  for (unsigned value = 1; value <= count; ++value)
-    servers.push_back({"s-" + std::to_string(value), hostAddress(value), state});
-  return servers;
+std::vector<FakeEndpointList::Endpoint> makeEndpoints(unsigned count, const std::string& state = "active") {
+  std::vector<FakeEndpointList::Endpoint> endpoints;
+  for (unsigned index = 1; index <= count; ++index)
+    endpoints.push_back({"s-" + std::to_string(index), hostAddress(index), state});
+  return endpoints;
 }
 
-// Two list services and a controller's desk that follows the first; both know of four engines.
+// Two discovery services and a request router whose watcher follows the first one; both services list four
+// engines.
 struct WatcherFixture : fakes::TestScheduler {
   explicit WatcherFixture(const discovery::ReconnectOptions& options = {}) : options_(options) {
-    firstList.publish(makeServers(4), true);
-    otherList.publish(makeServers(4), true);
+    firstList.publish(makeEndpoints(4), true);
+    otherList.publish(makeEndpoints(4), true);
   }
   void startWatcher() { watcher.emplace(*this, outputBudget, firstAddress, 0, 7, router, logger, options_); }
   bool waitUntilFollowing() {
@@ -91,8 +96,9 @@
   }
   std::size_t countEngines(EndpointState state) const {
     std::size_t count = 0;
-    router.forEachEndpoint(
-        [&](const routing::EngineEndpoint& fakeEngine) { count += fakeEngine.endpoint.state == state; });
+    router.forEachEndpoint([&](const routing::EngineEndpoint& engineEndpoint) {
+      count += engineEndpoint.endpoint.state == state;
+    });
     return count;
   }
   bool hasLogged(const std::string& text) const { return logText.find(text) != std::string::npos; }
@@ -104,7 +110,8 @@
   const Logger logger{[this](const LogRecord& record) {
     logText += std::string(record.topic) + ": " + record.message + "\n";
   }};
-  protocol::ControllerConfig config = protocol::decodeControllerConfig(protocol::flattenLines(kSiteSettings));
+  protocol::ControllerConfig config =
+      protocol::decodeControllerConfig(protocol::flattenLines(kControllerSettings));
   routing::RequestRouter router{
       *this,  outputBudget,
       config, {100, {config.maxAttemptsPerConnection, 20, config.connectTimeout, config.idleTimeout, {}}},
@@ -113,15 +120,16 @@
 };
 
 TEST(EndpointWatcher, ReconnectsWhenListIsSilentFromStart) {
-  WatcherFixture watch;
-  watch.firstList.behavior.unansweredSessions = 1;
-  watch.startWatcher();
-  EXPECT_TRUE(watch.waitUntilFollowing());
-  EXPECT_EQ(watch.firstList.queryTimes.size(), 2u);
-  EXPECT_TRUE(watch.hasLogged("silent: connecting anew"));
+  WatcherFixture fixture;
+  fixture.firstList.behavior.unansweredSessions = 1;
+  fixture.startWatcher();
+  EXPECT_TRUE(fixture.waitUntilFollowing());
+  EXPECT_EQ(fixture.firstList.queryTimes.size(), 2u);
+  EXPECT_TRUE(fixture.hasLogged("silent: connecting anew"));
 }
 
-// Bytes that are no line of it are no news: neither one a second, nor half a line for ever, nor empty lines.
+// Only complete, non-empty lines count as data: not bytes that arrive one by one, an unfinished line or empty
+// lines.
 TEST(EndpointWatcher, ReconnectsWhenListSendsNoCompleteLine) {
   struct InputCase {
     std::string content;
@@ -130,150 +138,155 @@
   for (const InputCase& input :
        {InputCase{std::string(60, '1'), 400ms}, InputCase{R"({"seq":)", 0ms},
         InputCase{std::string(60, '\n'), 400ms}, InputCase{"0\n" + std::string(60, '\n'), 400ms}}) {
-    WatcherFixture watch;
-    watch.firstList.behavior.replacementAnswer = input.content;
-    watch.firstList.behavior.byteInterval = input.interval;
-    watch.startWatcher();
-    EXPECT_TRUE(watch.runUntil([&] { return watch.firstList.queryTimes.size() == 1; }, 1s));
-    watch.firstList.behavior.replacementAnswer.clear();
-    EXPECT_TRUE(watch.waitUntilFollowing()) << input.content;
-    EXPECT_EQ(watch.firstList.queryTimes.size(), 2u);
+    WatcherFixture fixture;
+    fixture.firstList.behavior.replacementAnswer = input.content;
+    fixture.firstList.behavior.byteInterval = input.interval;
+    fixture.startWatcher();
+    EXPECT_TRUE(fixture.runUntil([&] { return fixture.firstList.queryTimes.size() == 1; }, 1s));
+    fixture.firstList.behavior.replacementAnswer.clear();
+    EXPECT_TRUE(fixture.waitUntilFollowing()) << input.content;
+    EXPECT_EQ(fixture.firstList.queryTimes.size(), 2u);
   }
 }
 
-// After a good time; engines begin to drain and go unseen, and two sessions more say nothing.
+// The service falls silent after working normally; engines start to drain and are removed unnoticed, and the
+// next two sessions are silent as well.
 TEST(EndpointWatcher, LearnsMissedChangesWithinVisibilityLimitWhenListFallsSilent) {
-  WatcherFixture watch;
-  watch.startWatcher();
-  ASSERT_TRUE(watch.waitUntilFollowing());
-  watch.runFor(1200ms);
-  watch.firstList.behavior.silentAfterAnswer = true;
-  watch.firstList.behavior.unansweredSessions = 2;
-  watch.firstList.publish(makeServers(1, "leaving"));
-  watch.firstList.publish({{"s-2", hostAddress(2), "left"}});
-  const transport::TimePoint changedAt = watch.now();
-  EXPECT_EQ(watch.countEngines(EndpointState::ready), 4u);
-  EXPECT_TRUE(watch.runUntil([&] { return watch.countEngines(EndpointState::ready) == 2; }, 10s));
-  EXPECT_LE(watch.now() - changedAt, kVisibilityLimit);
-  EXPECT_EQ(watch.countEngines(EndpointState::draining), 1u);
-  EXPECT_EQ(watch.firstList.queryTimes.size(), 4u);
+  WatcherFixture fixture;
+  fixture.startWatcher();
+  ASSERT_TRUE(fixture.waitUntilFollowing());
+  fixture.runFor(1200ms);
+  fixture.firstList.behavior.silentAfterAnswer = true;
+  fixture.firstList.behavior.unansweredSessions = 2;
+  fixture.firstList.publish(makeEndpoints(1, "leaving"));
+  fixture.firstList.publish({{"s-2", hostAddress(2), "left"}});
+  const transport::TimePoint changedAt = fixture.now();
+  EXPECT_EQ(fixture.countEngines(EndpointState::ready), 4u);
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.countEngines(EndpointState::ready) == 2; }, 10s));
+  EXPECT_LE(fixture.now() - changedAt, kVisibilityLimit);
+  EXPECT_EQ(fixture.countEngines(EndpointState::draining), 1u);
+  EXPECT_EQ(fixture.firstList.queryTimes.size(), 4u);
 }
 
-// In one turn: the list that is followed is none to go to, and goes on telling as it did.
-TEST(EndpointWatcher, KeepsSessionWhenMovedAwayAndBackAndNewListIsDead) {
-  WatcherFixture watch;
-  watch.startWatcher();
-  ASSERT_TRUE(watch.waitUntilFollowing());
-  EXPECT_TRUE(watch.watcher->switchTo(watch.unreachableAddress));
-  EXPECT_TRUE(watch.watcher->switchTo(watch.otherAddress));
-  EXPECT_TRUE(watch.watcher->switchTo(watch.firstAddress));
-  EXPECT_FALSE(watch.watcher->switchTo(watch.firstAddress));
-  watch.runFor(300ms);
-  EXPECT_EQ(watch.firstList.queryTimes.size(), 1u);
-  EXPECT_EQ(watch.otherList.queryTimes.size(), 0u);
-  EXPECT_TRUE(watch.watcher->switchTo(watch.unreachableAddress));
-  EXPECT_TRUE(watch.runUntil([&] { return watch.watcher->status().consecutiveFailures >= 2; }, 4s));
-  watch.firstList.publish(makeServers(1, "leaving"));  // told by the session from before
-  EXPECT_TRUE(watch.runUntil([&] { return watch.countEngines(EndpointState::draining) == 1; }, 1s));
-  EXPECT_TRUE(watch.watcher->switchTo(watch.firstAddress));
-  EXPECT_TRUE(watch.waitUntilFollowing());
-  EXPECT_TRUE(watch.runUntil(
-      [&] { return watch.firstList.queryTimes.size() == 2 && watch.firstList.subscriberCount() == 1; }, 2s));
+// The watcher switches away and back within one event loop iteration: the service that it follows is no new
+// target, and its session continues.
+TEST(EndpointWatcher, KeepsSessionWhenSwitchedAwayAndBackAndNewListIsUnreachable) {
+  WatcherFixture fixture;
+  fixture.startWatcher();
+  ASSERT_TRUE(fixture.waitUntilFollowing());
+  EXPECT_TRUE(fixture.watcher->switchTo(fixture.unreachableAddress));
+  EXPECT_TRUE(fixture.watcher->switchTo(fixture.otherAddress));
+  EXPECT_TRUE(fixture.watcher->switchTo(fixture.firstAddress));
+  EXPECT_FALSE(fixture.watcher->switchTo(fixture.firstAddress));
+  fixture.runFor(300ms);
+  EXPECT_EQ(fixture.firstList.queryTimes.size(), 1u);
+  EXPECT_EQ(fixture.otherList.queryTimes.size(), 0u);
+  EXPECT_TRUE(fixture.watcher->switchTo(fixture.unreachableAddress));
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.watcher->status().consecutiveFailures >= 2; }, 4s));
+  fixture.firstList.publish(makeEndpoints(1, "leaving"));  // Reported by the old session.
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.countEngines(EndpointState::draining) == 1; }, 1s));
+  EXPECT_TRUE(fixture.watcher->switchTo(fixture.firstAddress));
+  EXPECT_TRUE(fixture.waitUntilFollowing());
+  EXPECT_TRUE(fixture.runUntil(
+      [&] { return fixture.firstList.queryTimes.size() == 2 && fixture.firstList.subscriberCount() == 1; },
+      2s));
 }
 
 TEST(EndpointWatcher, LeavesSilentListAndMovesOnWhenNewListNeverConnects) {
-  WatcherFixture watch;
-  watch.startWatcher();
-  ASSERT_TRUE(watch.waitUntilFollowing());
-  const fakes::UnresponsiveListener silentListener(watch.unreachableAddress);
-  watch.firstList.behavior.silentAfterAnswer = true;
-  EXPECT_TRUE(watch.watcher->switchTo(watch.unreachableAddress));
-  EXPECT_TRUE(watch.runUntil([&] { return watch.firstList.subscriberCount() == 0; },
-                             4s));  // left, and not dialled again
-  watch.runFor(100ms);
-  EXPECT_TRUE(watch.hasLogged(watch.firstAddress.text() + ": silent")) << watch.logText;
-  EXPECT_FALSE(watch.hasLogged(watch.unreachableAddress.text() + ": silent")) << watch.logText;
-  watch.otherList.publish(makeServers(1, "leaving"));
-  EXPECT_TRUE(watch.watcher->switchTo(watch.otherAddress));
-  EXPECT_TRUE(watch.runUntil([&] { return watch.countEngines(EndpointState::draining) == 1; }, 2s));
-  EXPECT_EQ(watch.firstList.queryTimes.size(), 1u);
+  WatcherFixture fixture;
+  fixture.startWatcher();
+  ASSERT_TRUE(fixture.waitUntilFollowing());
+  const fakes::UnresponsiveListener silentListener(fixture.unreachableAddress);
+  fixture.firstList.behavior.silentAfterAnswer = true;
+  EXPECT_TRUE(fixture.watcher->switchTo(fixture.unreachableAddress));
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.firstList.subscriberCount() == 0; },
+                               4s));  // Closed and not reconnected.
+  fixture.runFor(100ms);
+  EXPECT_TRUE(fixture.hasLogged(fixture.firstAddress.text() + ": silent")) << fixture.logText;
+  EXPECT_FALSE(fixture.hasLogged(fixture.unreachableAddress.text() + ": silent")) << fixture.logText;
+  fixture.otherList.publish(makeEndpoints(1, "leaving"));
+  EXPECT_TRUE(fixture.watcher->switchTo(fixture.otherAddress));
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.countEngines(EndpointState::draining) == 1; }, 2s));
+  EXPECT_EQ(fixture.firstList.queryTimes.size(), 1u);
 }
 
 TEST(EndpointWatcher, FollowsOldListWhenNewListLagsBehind) {
-  WatcherFixture watch;
-  watch.firstList.publish(makeServers(1, "leaving"));
-  watch.startWatcher();
-  ASSERT_TRUE(watch.waitUntilFollowing());
-  EXPECT_TRUE(watch.watcher->switchTo(watch.otherAddress));
-  EXPECT_TRUE(watch.runUntil([&] { return watch.watcher->status().isBehind; }, 2s));
-  watch.firstList.publish(makeServers(2, "leaving"));
-  EXPECT_TRUE(watch.runUntil([&] { return watch.countEngines(EndpointState::draining) == 2; }, 2s));
-  for (unsigned value = 1; value <= 2; ++value) watch.otherList.publish(makeServers(value, "leaving"));
-  EXPECT_TRUE(watch.runUntil([&] { return watch.firstList.subscriberCount() == 0; },
-                             2s));  // now it is of no more use
-  watch.otherList.publish(makeServers(3, "leaving"));
-  EXPECT_TRUE(watch.runUntil([&] { return watch.countEngines(EndpointState::draining) == 3; }, 1s));
-  EXPECT_EQ(watch.watcher->status().lastEventNumber, 4u);
+  WatcherFixture fixture;
+  fixture.firstList.publish(makeEndpoints(1, "leaving"));
+  fixture.startWatcher();
+  ASSERT_TRUE(fixture.waitUntilFollowing());
+  EXPECT_TRUE(fixture.watcher->switchTo(fixture.otherAddress));
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.watcher->status().isBehind; }, 2s));
+  fixture.firstList.publish(makeEndpoints(2, "leaving"));
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.countEngines(EndpointState::draining) == 2; }, 2s));
+  for (unsigned index = 1; index <= 2; ++index) fixture.otherList.publish(makeEndpoints(index, "leaving"));
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.firstList.subscriberCount() == 0; },
+                               2s));  // The old service is no longer needed.
+  fixture.otherList.publish(makeEndpoints(3, "leaving"));
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.countEngines(EndpointState::draining) == 3; }, 1s));
+  EXPECT_EQ(fixture.watcher->status().lastEventNumber, 4u);
 }
 
-// The one's first line ends the other's session, whose own line has come in the same turn.
+// The first line of the new service ends the session of the old one, whose own line has arrived in the same
+// event loop iteration.
 TEST(EndpointWatcher, AppliesEventOnceWhenOldAndNewListReportTogether) {
   for (const bool oldListFirst : {true, false}) {
-    WatcherFixture watch;
-    watch.startWatcher();
-    ASSERT_TRUE(watch.waitUntilFollowing());
-    watch.otherList.behavior.silentAfterAnswer = true;
-    EXPECT_TRUE(watch.watcher->switchTo(watch.otherAddress));
-    ASSERT_TRUE(watch.runUntil([&] { return watch.otherList.subscriberCount() == 1; }, 2s));
-    const std::string same = FakeEndpointList::formatEvent(2, false, makeServers(1, "leaving")) + "\n";
-    if (oldListFirst) watch.firstList.sendRaw(same);
-    watch.otherList.sendRaw(same);
-    if (!oldListFirst) watch.firstList.sendRaw(same);
-    EXPECT_TRUE(watch.runUntil([&] { return watch.firstList.subscriberCount() == 0; }, 1s));
-    EXPECT_EQ(watch.countEngines(EndpointState::draining), 1u);
-    EXPECT_EQ(watch.watcher->status().lastEventNumber, 2u);
-    EXPECT_EQ(watch.firstList.queryTimes.size() + watch.otherList.queryTimes.size(), 2u);
+    WatcherFixture fixture;
+    fixture.startWatcher();
+    ASSERT_TRUE(fixture.waitUntilFollowing());
+    fixture.otherList.behavior.silentAfterAnswer = true;
+    EXPECT_TRUE(fixture.watcher->switchTo(fixture.otherAddress));
+    ASSERT_TRUE(fixture.runUntil([&] { return fixture.otherList.subscriberCount() == 1; }, 2s));
+    const std::string eventLine = FakeEndpointList::formatEvent(2, false, makeEndpoints(1, "leaving")) + "\n";
+    if (oldListFirst) fixture.firstList.sendRaw(eventLine);
+    fixture.otherList.sendRaw(eventLine);
+    if (!oldListFirst) fixture.firstList.sendRaw(eventLine);
+    EXPECT_TRUE(fixture.runUntil([&] { return fixture.firstList.subscriberCount() == 0; }, 1s));
+    EXPECT_EQ(fixture.countEngines(EndpointState::draining), 1u);
+    EXPECT_EQ(fixture.watcher->status().lastEventNumber, 2u);
+    EXPECT_EQ(fixture.firstList.queryTimes.size() + fixture.otherList.queryTimes.size(), 2u);
   }
 }
 
-// The old one's beats, one after each of them, are no word for what the new one tells.
+// The old service sends a heartbeat after each query to the new one; these heartbeats do not confirm the
+// event that the new service sent.
 TEST(EndpointWatcher, ReadsSnapshotWhenNewListCannotBeResumed) {
-  WatcherFixture watch;
-  watch.startWatcher();
-  ASSERT_TRUE(watch.waitUntilFollowing());
-  watch.otherList.behavior.replacementAnswer =
-      FakeEndpointList::formatEvent(9, false, makeServers(1, "leaving")) + "\n";
-  EXPECT_TRUE(watch.watcher->switchTo(watch.otherAddress));
-  for (std::size_t index = 1; index <= 4 && watch.otherList.snapshotQueryTimes.empty(); ++index) {
-    ASSERT_TRUE(watch.runUntil([&] { return watch.otherList.queryTimes.size() >= index; }, 3s));
-    watch.runFor(20ms);
-    watch.firstList.sendRaw("1\n");
+  WatcherFixture fixture;
+  fixture.startWatcher();
+  ASSERT_TRUE(fixture.waitUntilFollowing());
+  fixture.otherList.behavior.replacementAnswer =
+      FakeEndpointList::formatEvent(9, false, makeEndpoints(1, "leaving")) + "\n";
+  EXPECT_TRUE(fixture.watcher->switchTo(fixture.otherAddress));
+  for (std::size_t index = 1; index <= 4 && fixture.otherList.snapshotQueryTimes.empty(); ++index) {
+    ASSERT_TRUE(fixture.runUntil([&] { return fixture.otherList.queryTimes.size() >= index; }, 3s));
+    fixture.runFor(20ms);
+    fixture.firstList.sendRaw("1\n");
   }
-  EXPECT_GE(watch.otherList.snapshotQueryTimes.size(), 1u);
-  EXPECT_TRUE(watch.runUntil([&] { return watch.watcher->status().lastEventNumber == 9; }, 3s));
-  EXPECT_EQ(watch.countEngines(EndpointState::draining), 1u);
+  EXPECT_GE(fixture.otherList.snapshotQueryTimes.size(), 1u);
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.watcher->status().lastEventNumber == 9; }, 3s));
+  EXPECT_EQ(fixture.countEngines(EndpointState::draining), 1u);
 }
 
-// All of a list is one line: a thousand engines with ids of 500 bytes go in; past its bound the line is said
-// and what is known stays.
+// A snapshot is a single line: one with a thousand engines with ids of 500 bytes is accepted. A line above
+// the limit is logged, and the known engines are kept.
 TEST(EndpointWatcher, ReadsThousandEnginesAndKeepsThemWhenNextLineExceedsLimit) {
-  const auto makeManyServers = [](unsigned count) {
-    std::vector<FakeEndpointList::Endpoint> servers;
-    for (unsigned value = 0; value < count; ++value)
-      servers.push_back({std::string(500, 'x') + std::to_string(value), hostAddress(1)});
-    return servers;
+  const auto makeManyEndpoints = [](unsigned count) {
+    std::vector<FakeEndpointList::Endpoint> endpoints;
+    for (unsigned index = 0; index < count; ++index)
+      endpoints.push_back({std::string(500, 'x') + std::to_string(index), hostAddress(1)});
+    return endpoints;
   };
-  WatcherFixture watch;
-  watch.firstList.publish(makeManyServers(1000), true);
-  watch.startWatcher();
-  ASSERT_TRUE(watch.waitUntilFollowing());
-  EXPECT_TRUE(watch.runUntil([&] { return watch.countEngines(EndpointState::ready) == 1000; }, 8s));
-  watch.firstList.publish(makeManyServers(2000), true);
-  EXPECT_TRUE(watch.runUntil([&] { return watch.hasLogged("a line without an end"); }, 8s));
-  EXPECT_EQ(watch.countEngines(EndpointState::ready), 1000u);
+  WatcherFixture fixture;
+  fixture.firstList.publish(makeManyEndpoints(1000), true);
+  fixture.startWatcher();
+  ASSERT_TRUE(fixture.waitUntilFollowing());
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.countEngines(EndpointState::ready) == 1000; }, 8s));
+  fixture.firstList.publish(makeManyEndpoints(2000), true);
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.hasLogged("a line without an end"); }, 8s));
+  EXPECT_EQ(fixture.countEngines(EndpointState::ready), 1000u);
 }
 
-// ---- processes ------------------------------------------------------------------------------------------
+// ---- controller processes -------------------------------------------------------------------------------
 
 struct WatcherFleetFixture : fakes::TestScheduler {
   WatcherFleetFixture() {
@@ -283,23 +296,23 @@
     options.hasAdminSockets = options.startsControllers = false;
   }
   void launch() {
-    site.emplace(*this, outputBudget, options);
-    load.emplace(*this, outputBudget, site->frontAddresses(), 3);
-    load->setHeartbeatInterval(50ms);
-    load->setDedicatedClients(true);
-    for (std::size_t index = 0; index < options.controllers; ++index) site->startController(index);
+    fleet.emplace(*this, outputBudget, options);
+    loadGenerator.emplace(*this, outputBudget, fleet->frontAddresses(), 3);
+    loadGenerator->setHeartbeatInterval(50ms);
+    loadGenerator->setDedicatedClients(true);
+    for (std::size_t index = 0; index < options.controllers; ++index) fleet->startController(index);
   }
   std::size_t countReady() const {
     std::size_t count = 0;
     for (std::size_t index = 0; index < options.controllers; ++index)
-      count += load->isInService(index) ? 1 : 0;
+      count += loadGenerator->isInService(index) ? 1 : 0;
     return count;
   }
   bool waitUntilReady(std::chrono::milliseconds timeout) {
     return runUntil([&] { return countReady() == options.controllers; }, timeout);
   }
   std::string readLog(std::size_t controller) const {
-    std::ifstream file(site->logPath(controller));
+    std::ifstream file(fleet->logPath(controller));
     return {std::istreambuf_iterator<char>(file), {}};
   }
   std::size_t countLogged(const std::string& text) const {
@@ -310,177 +323,189 @@
     return count;
   }
   std::size_t countDescriptors() {
-    const std::filesystem::path directory("/proc/" + std::to_string(site->controller(0).pid()) + "/fd");
+    const std::filesystem::path directory("/proc/" + std::to_string(fleet->controller(0).pid()) + "/fd");
     return static_cast<std::size_t>(std::distance(std::filesystem::directory_iterator(directory), {}));
   }
-  FakeEndpointList& endpointList() { return site->endpointList(); }
+  FakeEndpointList& endpointList() { return fleet->endpointList(); }
   fakes::FakeFleetOptions options;
-  std::optional<fakes::FakeFleet> site;
-  std::optional<fakes::LoadGenerator> load;
+  std::optional<fakes::FakeFleet> fleet;
+  std::optional<fakes::LoadGenerator> loadGenerator;
   transport::TaskGroup idleClients{*this,
-                                   [](const char*) {}};  // clients that ask for nothing, and come again
+                                   [](const char*) {}};  // Clients that send no requests and reconnect.
 };
 
-// All open watches fall silent at once; a quarter of the engines begin to drain right after.
+// All open sessions fall silent at once; a quarter of the engines start to drain right after.
 TEST(EndpointWatcherProcess, SendsNothingToDrainingEnginesWhenListWasSilent) {
-  WatcherFleetFixture fleet;
-  fleet.options.controllers = 3;
-  fleet.launch();
-  ASSERT_TRUE(fleet.waitUntilReady(15s));
-  ASSERT_TRUE(fleet.runUntil([&] { return fleet.endpointList().subscriberCount() == 3; }, 5s));
-  fleet.load->start(60, {fakes::FakeFleet::lookUpProfile()});
-  fleet.endpointList().behavior.silentAfterAnswer = true;
-  fleet.endpointList().publish(
-      {{"s-1", fleet.site->addressText(1), "leaving"}, {"s-2", fleet.site->addressText(2), "leaving"}});
-  const transport::TimePoint changedAt = fleet.now();
-  EXPECT_TRUE(fleet.runUntil([&] { return fleet.endpointList().queryTimes.size() >= 6; }, 7s));
-  EXPECT_LE(fleet.now() - changedAt, kVisibilityLimit);
-  fleet.runFor(300ms);
-  const std::uint64_t attemptsBefore = fleet.site->engine(0).askCount() + fleet.site->engine(1).askCount();
-  const std::uint64_t sentBefore = fleet.load->counters().sent;
-  EXPECT_TRUE(fleet.runUntil([&] { return fleet.load->counters().sent >= sentBefore + 60; }, 10s));
-  fleet.load->stop();
-  EXPECT_TRUE(fleet.runUntil([&] { return fleet.load->counters().open == 0; }, 6s));
-  EXPECT_EQ(fleet.site->engine(0).askCount() + fleet.site->engine(1).askCount(), attemptsBefore);
-  EXPECT_EQ(fleet.load->counters().lost, 0u);
+  WatcherFleetFixture fixture;
+  fixture.options.controllers = 3;
+  fixture.launch();
+  ASSERT_TRUE(fixture.waitUntilReady(15s));
+  ASSERT_TRUE(fixture.runUntil([&] { return fixture.endpointList().subscriberCount() == 3; }, 5s));
+  fixture.loadGenerator->start(60, {fakes::FakeFleet::lookUpProfile()});
+  fixture.endpointList().behavior.silentAfterAnswer = true;
+  fixture.endpointList().publish(
+      {{"s-1", fixture.fleet->addressText(1), "leaving"}, {"s-2", fixture.fleet->addressText(2), "leaving"}});
+  const transport::TimePoint changedAt = fixture.now();
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.endpointList().queryTimes.size() >= 6; }, 7s));
+  EXPECT_LE(fixture.now() - changedAt, kVisibilityLimit);
+  fixture.runFor(300ms);
+  const std::uint64_t attemptsBefore =
+      fixture.fleet->engine(0).askCount() + fixture.fleet->engine(1).askCount();
+  const std::uint64_t sentBefore = fixture.loadGenerator->counters().sent;
+  EXPECT_TRUE(
+      fixture.runUntil([&] { return fixture.loadGenerator->counters().sent >= sentBefore + 60; }, 10s));
+  fixture.loadGenerator->stop();
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.loadGenerator->counters().open == 0; }, 6s));
+  EXPECT_EQ(fixture.fleet->engine(0).askCount() + fixture.fleet->engine(1).askCount(), attemptsBefore);
+  EXPECT_EQ(fixture.loadGenerator->counters().lost, 0u);
 }
 
-transport::Task<> runIdleClient(WatcherFleetFixture& fleet, bool sendsHeartbeat) {
+transport::Task<> runIdleClient(WatcherFleetFixture& fixture, bool sendsHeartbeat) {
   const std::string heartbeat = protocol::thrift::encodeMessage(
       "heartbeat", protocol::thrift::MessageType::call, 1, std::string("\2\0\1\0\0", 5));
   for (;;) {
     transport::ConnectResult connectResult =
-        co_await transport::connect(fleet, fleet.site->frontAddresses()[0], fleet.now() + 10s);
+        co_await transport::connect(fixture, fixture.fleet->frontAddresses()[0], fixture.now() + 10s);
     if (connectResult.descriptor) {
-      transport::Connection connection(fleet, std::move(connectResult.descriptor), 256, 4096,
-                                       fleet.outputBudget);
+      transport::Connection connection(fixture, std::move(connectResult.descriptor), 256, 4096,
+                                       fixture.outputBudget);
       if (sendsHeartbeat) connection.send({transport::BufferSlice(heartbeat)});
       for (bool hasMore = true; hasMore;) {
         hasMore = co_await connection.receive();
         connection.input().consume(connection.input().view().size());
       }
     }
-    co_await fleet.sleepUntil(fleet.now() + 20ms);
+    co_await fixture.sleepUntil(fixture.now() + 20ms);
   }
 }
 
-// As many descriptors as it is allowed and not one more; idle clients hold all they can get, jobs all the
-// connections to engines.
+// The controller uses all descriptors that its limit allows and no more: idle clients hold as many
+// connections as they can get, and requests hold all connections to engines.
 TEST(EndpointWatcherProcess, FollowsListAndServesClientsWhenIdleClientsHoldDescriptors) {
   constexpr std::size_t kSockets = 64;
-  WatcherFleetFixture fleet;
-  fleet.options.maxSockets = kSockets;
-  fleet.options.engines = 24;
+  WatcherFleetFixture fixture;
+  fixture.options.maxSockets = kSockets;
+  fixture.options.engines = 24;
   const std::string descriptorLimit = std::to_string(kSockets);
-  fleet.options.launcher = {
+  fixture.options.launcher = {
       "/usr/bin/prlimit", "--nofile=" + descriptorLimit + ":" + descriptorLimit, "/bin/sh", "-c",
-      R"(exec 7</dev/null 8</dev/null 9</dev/null; exec "$0" "$@")"};  // it inherits three
-  fleet.launch();
-  ASSERT_TRUE(fleet.waitUntilReady(15s));
-  FakeEndpointList otherList(fleet, fleet.outputBudget, transport::Address(fleet.site->addressText(251)));
-  otherList.publish(fleet.site->endpoints(), true);
-  otherList.behavior.unansweredSessions = 100;  // up, and not a word: the first is followed beside it
-  fakes::LoadGenerator::RequestProfile slowKind = fakes::FakeFleet::lookUpProfile();
-  slowKind.minDuration = slowKind.maxDuration = 2500ms;
-  fleet.load->start(60, {slowKind});
-  for (unsigned value = 0; value < 100; ++value)
-    fleet.idleClients.spawn(runIdleClient(fleet, value % 2 == 0));
+      R"(exec 7</dev/null 8</dev/null 9</dev/null; exec "$0" "$@")"};  // It inherits three descriptors.
+  fixture.launch();
+  ASSERT_TRUE(fixture.waitUntilReady(15s));
+  FakeEndpointList otherList(fixture, fixture.outputBudget,
+                             transport::Address(fixture.fleet->addressText(251)));
+  otherList.publish(fixture.fleet->endpoints(), true);
+  otherList.behavior.unansweredSessions =
+      100;  // Accepts but never responds: the old service is followed meanwhile.
+  fakes::LoadGenerator::RequestProfile slowProfile = fakes::FakeFleet::lookUpProfile();
+  slowProfile.minDuration = slowProfile.maxDuration = 2500ms;
+  fixture.loadGenerator->start(60, {slowProfile});
+  for (unsigned index = 0; index < 100; ++index)
+    fixture.idleClients.spawn(runIdleClient(fixture, index % 2 == 0));
   std::size_t peakDescriptors = 0;
   const auto isFull = [&] {
-    return (peakDescriptors = std::max(peakDescriptors, fleet.countDescriptors())) >= kSockets - 3;
+    return (peakDescriptors = std::max(peakDescriptors, fixture.countDescriptors())) >= kSockets - 3;
   };
-  EXPECT_TRUE(fleet.runUntil(isFull, 8s)) << peakDescriptors;
-  for (std::size_t index = 1; index <= 4; ++index) {  // two list connections are open at each second of these
-    fleet.site->changeEndpointList(
-        0, index % 2 == 1 ? fleet.site->addressText(251) : fleet.site->addressText(250));
-    EXPECT_TRUE(fleet.runUntil([&] { return fleet.countLogged("read again") >= index; }, 5s))
-        << index << fleet.readLog(0);
-    const bool isFollowed = fleet.runUntil(
+  EXPECT_TRUE(fixture.runUntil(isFull, 8s)) << peakDescriptors;
+  for (std::size_t index = 1; index <= 4;
+       ++index) {  // Every second switch leaves two connections to discovery services open.
+    fixture.fleet->changeEndpointList(
+        0, index % 2 == 1 ? fixture.fleet->addressText(251) : fixture.fleet->addressText(250));
+    EXPECT_TRUE(fixture.runUntil([&] { return fixture.countLogged("read again") >= index; }, 5s))
+        << index << fixture.readLog(0);
+    const bool isFollowed = fixture.runUntil(
         [&] {
-          peakDescriptors = std::max(peakDescriptors, fleet.countDescriptors());
+          peakDescriptors = std::max(peakDescriptors, fixture.countDescriptors());
           return index % 2 == 1 ? otherList.queryTimes.size() > index / 2
-                                : fleet.endpointList().queryTimes.size() > index / 2;
+                                : fixture.endpointList().queryTimes.size() > index / 2;
         },
         5s);
     EXPECT_TRUE(isFollowed) << index;
   }
-  EXPECT_EQ(fleet.countLogged("not taken"), 0u) << fleet.readLog(0);
-  std::printf("descriptors: %zu of %zu at most\n", peakDescriptors, kSockets);
-  // The list goes, its descriptor is anybody's; it comes back while as many clients knock as before.
-  fleet.endpointList().close();
-  fleet.runFor(2s);
-  const std::size_t connectsBefore = fleet.endpointList().queryTimes.size();
-  fleet.endpointList().open();
-  EXPECT_TRUE(fleet.runUntil([&] { return fleet.endpointList().queryTimes.size() > connectsBefore; }, 3s));
-  fleet.endpointList().publish({{"s-1", fleet.site->addressText(1), "leaving"}});
-  EXPECT_TRUE(fleet.runUntil([&] { return fleet.endpointList().subscriberCount() == 1; }, 2s));
-  // A usual client gets in and is served.
-  fleet.load->stop();
-  EXPECT_TRUE(fleet.runUntil([&] { return fleet.load->counters().open == 0; }, 8s));
-  fleet.load->start(0, {fakes::FakeFleet::lookUpProfile()});
+  EXPECT_EQ(fixture.countLogged("not taken"), 0u) << fixture.readLog(0);
+  std::printf("peak descriptors: %zu, limit %zu\n", peakDescriptors, kSockets);
+  // The discovery service stops, which frees its descriptor for other uses, and restarts while the same
+  // number of clients keeps connecting.
+  fixture.endpointList().close();
+  fixture.runFor(2s);
+  const std::size_t connectsBefore = fixture.endpointList().queryTimes.size();
+  fixture.endpointList().open();
+  EXPECT_TRUE(
+      fixture.runUntil([&] { return fixture.endpointList().queryTimes.size() > connectsBefore; }, 3s));
+  fixture.endpointList().publish({{"s-1", fixture.fleet->addressText(1), "leaving"}});
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.endpointList().subscriberCount() == 1; }, 2s));
+  // A regular client connects and is served.
+  fixture.loadGenerator->stop();
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.loadGenerator->counters().open == 0; }, 8s));
+  fixture.loadGenerator->start(0, {fakes::FakeFleet::lookUpProfile()});
   const auto completedRequests = [&] {
-    return fleet.load->counters()
+    return fixture.loadGenerator->counters()
         .answersByOutcome[static_cast<std::size_t>(fakes::Reply::Outcome::completed)];
   };
   const std::uint64_t completedBefore = completedRequests();
-  EXPECT_TRUE(fleet.runUntil([&] { return fleet.load->isInService(0); }, 5s));
-  for (int item = 0; item < 5; ++item) fleet.load->send(0, 0);
-  EXPECT_TRUE(fleet.runUntil([&] { return completedRequests() == completedBefore + 5; }, 5s));
-  EXPECT_EQ(fleet.countLogged("Too many open files"), 0u) << fleet.readLog(0);
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.loadGenerator->isInService(0); }, 5s));
+  for (int index = 0; index < 5; ++index) fixture.loadGenerator->send(0, 0);
+  EXPECT_TRUE(fixture.runUntil([&] { return completedRequests() == completedBefore + 5; }, 5s));
+  EXPECT_EQ(fixture.countLogged("Too many open files"), 0u) << fixture.readLog(0);
 }
 
-// Seven in ten killed at once and started again, with clients that knock. PADDLETRACK_RESTARTS: so many
-// processes in place of ten.
+// Kills and restarts 70% of the controllers at once while clients keep connecting. PADDLETRACK_RESTARTS sets
+// the number of controllers (default 10).
 struct RestartCase {
-  bool listIsKnown;       // the configuration holds the list
-  const char* listState;  // the list service is at the start
+  bool listIsKnown;          // The configuration contains the endpoint list.
+  const char* serviceState;  // State of the discovery service at the start.
   std::chrono::milliseconds downTime, delayPerSession;
 };
 
 void checkRestart(const RestartCase& restartCase) {
   const char* controllerCountText = std::getenv("PADDLETRACK_RESTARTS");
-  WatcherFleetFixture fleet;
-  fleet.options.controllers =
+  WatcherFleetFixture fixture;
+  fixture.options.controllers =
       controllerCountText ? static_cast<unsigned>(std::stoul(controllerCountText)) : 10;
-  fleet.options.includesKnownEvents = restartCase.listIsKnown;
-  fleet.launch();
-  ASSERT_TRUE(fleet.waitUntilReady(60s));
-  const std::size_t killedCount = fleet.options.controllers * 7 / 10;
-  fleet.load->start(5.0 * fleet.options.controllers, {fakes::FakeFleet::lookUpProfile()});
-  if (restartCase.downTime > 0ms) fleet.endpointList().close();
-  fleet.endpointList().behavior.answerDuration = restartCase.delayPerSession;
-  for (std::size_t index = 0; index < killedCount; ++index) fleet.site->controller(index).sendSignal(SIGKILL);
+  fixture.options.includesKnownEvents = restartCase.listIsKnown;
+  fixture.launch();
+  ASSERT_TRUE(fixture.waitUntilReady(60s));
+  const std::size_t killedCount = fixture.options.controllers * 7 / 10;
+  fixture.loadGenerator->start(5.0 * fixture.options.controllers, {fakes::FakeFleet::lookUpProfile()});
+  if (restartCase.downTime > 0ms) fixture.endpointList().close();
+  fixture.endpointList().behavior.answerDuration = restartCase.delayPerSession;
+  for (std::size_t index = 0; index < killedCount; ++index)
+    fixture.fleet->controller(index).sendSignal(SIGKILL);
   const auto areAllStopped = [&] {
-    for (std::size_t item = 0; item < killedCount; ++item)
-      if (!fleet.site->controller(item).exitCode() || fleet.load->isInService(item)) return false;
+    for (std::size_t index = 0; index < killedCount; ++index)
+      if (!fixture.fleet->controller(index).exitCode() || fixture.loadGenerator->isInService(index))
+        return false;
     return true;
   };
-  ASSERT_TRUE(fleet.runUntil(areAllStopped, 10s));
-  const transport::TimePoint startedAt = fleet.now();
-  for (std::size_t item = 0; item < killedCount; ++item) fleet.site->startController(item);
+  ASSERT_TRUE(fixture.runUntil(areAllStopped, 10s));
+  const transport::TimePoint startedAt = fixture.now();
+  for (std::size_t index = 0; index < killedCount; ++index) fixture.fleet->startController(index);
   std::vector<std::chrono::milliseconds> readyTimes;
   std::vector<bool> isReady(killedCount);
   const auto pollReadiness = [&] {
-    const auto elapsed = std::chrono::duration_cast<std::chrono::milliseconds>(fleet.now() - startedAt);
-    if (!fleet.endpointList().isOpen() && elapsed >= restartCase.downTime) fleet.endpointList().open();
-    for (std::size_t element = 0; element < killedCount; ++element)
-      if (!isReady[element] && fleet.load->isInService(element))
-        isReady[element] = true, readyTimes.push_back(elapsed);
+    const auto elapsed = std::chrono::duration_cast<std::chrono::milliseconds>(fixture.now() - startedAt);
+    if (!fixture.endpointList().isOpen() && elapsed >= restartCase.downTime) fixture.endpointList().open();
+    for (std::size_t index = 0; index < killedCount; ++index)
+      if (!isReady[index] && fixture.loadGenerator->isInService(index))
+        isReady[index] = true, readyTimes.push_back(elapsed);
     return readyTimes.size() == killedCount;
   };
-  const bool becameReady = fleet.runUntil(pollReadiness, 30s);
+  const bool becameReady = fixture.runUntil(pollReadiness, 30s);
   const std::size_t ninetyPercentCount = (killedCount * 9 + 9) / 10;
-  std::printf("%s, list %s: %zu of %zu ready; nine in ten after %lld ms, the last after %lld ms\n",
-              restartCase.listIsKnown ? "known" : "nothing known", restartCase.listState, readyTimes.size(),
-              killedCount,
-              readyTimes.size() < ninetyPercentCount
-                  ? -1LL
-                  : static_cast<long long>(readyTimes[ninetyPercentCount - 1].count()),
-              readyTimes.empty() ? -1LL : static_cast<long long>(readyTimes.back().count()));
+  std::printf(
+      "endpoint list %s, discovery service %s: %zu of %zu controllers ready; 90%% after %lld ms, the last "
+      "after %lld ms\n",
+      restartCase.listIsKnown ? "known" : "not known", restartCase.serviceState, readyTimes.size(),
+      killedCount,
+      readyTimes.size() < ninetyPercentCount
+          ? -1LL
+          : static_cast<long long>(readyTimes[ninetyPercentCount - 1].count()),
+      readyTimes.empty() ? -1LL : static_cast<long long>(readyTimes.back().count()));
   EXPECT_TRUE(becameReady);
   ASSERT_GE(readyTimes.size(), ninetyPercentCount);
   EXPECT_LE(readyTimes[ninetyPercentCount - 1], 10s);
-  // Whoever knows does not wait for the service: it was away till then, or had no time for half of them.
+  // Controllers with a known list do not wait for the service, which was down until then or too slow for half
+  // of them.
   if (restartCase.listIsKnown && restartCase.downTime > 0ms && !controllerCountText) {
     EXPECT_LT(readyTimes[ninetyPercentCount - 1], restartCase.downTime);
   }
--- a/tests/discovery/reconnect_schedule_test.cpp
+++ b/tests/discovery/reconnect_schedule_test.cpp
@@ -1,5 +1,5 @@
-// Many controllers that start together: the module by itself, and processes of the program against a list
-// service that does badly.
+// Tests controllers that start together: ReconnectSchedule in isolation, and controller processes with a
+// failing discovery service.
 #include "discovery/reconnect_schedule.hpp"
 
 #include <gtest/gtest.h>
@@ -21,13 +21,14 @@
 using discovery::ReconnectSchedule;
 using SessionEnd = ReconnectSchedule::SessionEnd;
 
-// ---- the module -----------------------------------------------------------------------------------------
+// ---- ReconnectSchedule ----------------------------------------------------------------------------------
 
-// How many dials of all fall in the fullest second, while each session ends so, from one cut on.
+// Returns the maximum number of connects of all controllers in any second from `begin` to `until`. All
+// controllers lose a session with valid data at time 0, and each later session ends with `end`.
 std::size_t maxConnectsPerSecond(unsigned controllers, SessionEnd end, Duration begin, Duration until) {
   std::vector<std::size_t> connectsPerSecond(static_cast<std::size_t>(until / 1s) + 1);
-  for (unsigned value = 0; value < controllers; ++value) {
-    ReconnectSchedule schedule({controllers, 20, 0, 60s}, true, 0x7a0 + value, Duration{0});
+  for (unsigned index = 0; index < controllers; ++index) {
+    ReconnectSchedule schedule({controllers, 20, 0, 60s}, true, 0x7a0 + index, Duration{0});
     schedule.onSessionEnded(Duration{0}, SessionEnd::receivedData, true);
     while (schedule.nextConnectAt() < until) {
       if (schedule.nextConnectAt() >= begin)
@@ -40,70 +41,70 @@
 
 TEST(ReconnectSchedule, KeepsFleetConnectRateWhenSessionsEndInAnyWay) {
   for (const unsigned controllers : {50u, 200u, 500u})
-    for (const SessionEnd how :
+    for (const SessionEnd sessionEnd :
          {SessionEnd::unreachable, SessionEnd::refused, SessionEnd::unresponsive, SessionEnd::receivedData}) {
-      const Duration from = how == SessionEnd::receivedData ? Duration(30s) : Duration(0);
-      const std::size_t most = maxConnectsPerSecond(controllers, how, from, 60s);
-      // Those that are told something each time come back after half a window in the mean.
-      EXPECT_LE(most, how == SessionEnd::receivedData ? 62u : 42u) << controllers;
-      EXPECT_GE(most, 10u) << controllers;
+      const Duration begin = sessionEnd == SessionEnd::receivedData ? Duration(30s) : Duration(0);
+      const std::size_t maxConnects = maxConnectsPerSecond(controllers, sessionEnd, begin, 60s);
+      // After sessions with data, controllers reconnect after half a window on average.
+      EXPECT_LE(maxConnects, sessionEnd == SessionEnd::receivedData ? 62u : 42u) << controllers;
+      EXPECT_GE(maxConnects, 10u) << controllers;
     }
 }
 
 TEST(ReconnectSchedule, BoundsBackoffWhenNoRatesAreConfigured) {
-  ReconnectSchedule dials({300, 0, 0, 30s}, true, 5, Duration(7s));
-  EXPECT_EQ(dials.nextConnectAt(), Duration(7s));
-  Duration now = dials.nextConnectAt(), longest{0};
+  ReconnectSchedule schedule({300, 0, 0, 30s}, true, 5, Duration(7s));
+  EXPECT_EQ(schedule.nextConnectAt(), Duration(7s));
+  Duration now = schedule.nextConnectAt(), longest{0};
   for (int index = 0; index < 200; ++index) {
-    dials.onSessionEnded(now, SessionEnd::unreachable, true);
-    EXPECT_GE(dials.nextConnectAt() - now, Duration(100ms));
-    longest = std::max(longest, dials.nextConnectAt() - now);
-    now = dials.nextConnectAt();
+    schedule.onSessionEnded(now, SessionEnd::unreachable, true);
+    EXPECT_GE(schedule.nextConnectAt() - now, Duration(100ms));
+    longest = std::max(longest, schedule.nextConnectAt() - now);
+    now = schedule.nextConnectAt();
   }
   EXPECT_LE(longest, Duration(800ms));
   EXPECT_GT(longest, Duration(500ms));
-  EXPECT_EQ(dials.consecutiveFailures(), 200u);
-  dials.onSessionEnded(now, SessionEnd::unreachable, true);
-  const Duration due = dials.nextConnectAt();
-  dials.expediteReconnect(now);
-  EXPECT_EQ(dials.nextConnectAt(), due);
+  EXPECT_EQ(schedule.consecutiveFailures(), 200u);
+  schedule.onSessionEnded(now, SessionEnd::unreachable, true);
+  const Duration scheduledAt = schedule.nextConnectAt();
+  schedule.expediteReconnect(now);
+  EXPECT_EQ(schedule.nextConnectAt(), scheduledAt);
 }
 
-TEST(ReconnectSchedule, CapsDelayAndShortensItOnceWhenListIsDoubted) {
+TEST(ReconnectSchedule, CapsWaitAndShortensItOnceWhenReconnectIsExpedited) {
   Duration sum{0};
-  for (unsigned value = 0; value < 100; ++value) {
-    ReconnectSchedule dials({100000, 1, 1, 20s}, true, value, Duration{0});
-    EXPECT_LE(dials.nextConnectAt(), Duration(20s));
-    const Duration due = dials.nextConnectAt();
-    dials.expediteReconnect(Duration{0});
-    EXPECT_LE(dials.nextConnectAt(), due / 4);
-    sum += dials.nextConnectAt();
-    const Duration hurried = dials.nextConnectAt();
-    dials.expediteReconnect(Duration{0});
-    EXPECT_EQ(dials.nextConnectAt(), hurried);
-    for (int times = 0; times < 10; ++times) {
-      const Duration now = dials.nextConnectAt();
-      dials.onSessionEnded(now, SessionEnd::refused, true);
-      EXPECT_LE(dials.nextConnectAt() - now, Duration(20s));
+  for (unsigned seed = 0; seed < 100; ++seed) {
+    ReconnectSchedule schedule({100000, 1, 1, 20s}, true, seed, Duration{0});
+    EXPECT_LE(schedule.nextConnectAt(), Duration(20s));
+    const Duration scheduledAt = schedule.nextConnectAt();
+    schedule.expediteReconnect(Duration{0});
+    EXPECT_LE(schedule.nextConnectAt(), scheduledAt / 4);
+    sum += schedule.nextConnectAt();
+    const Duration expeditedAt = schedule.nextConnectAt();
+    schedule.expediteReconnect(Duration{0});
+    EXPECT_EQ(schedule.nextConnectAt(), expeditedAt);
+    for (int sessionIndex = 0; sessionIndex < 10; ++sessionIndex) {
+      const Duration now = schedule.nextConnectAt();
+      schedule.onSessionEnded(now, SessionEnd::refused, true);
+      EXPECT_LE(schedule.nextConnectAt() - now, Duration(20s));
     }
   }
-  EXPECT_GT(sum / 100, Duration(500ms));  // and still scattered
+  EXPECT_GT(sum / 100, Duration(500ms));  // Expedited connects are still spread.
 }
 
 TEST(ReconnectSchedule, DoublesSilenceTimeoutUntilDataArrivesWhenServiceIsSilent) {
-  ReconnectSchedule dials({}, false, 1, Duration{0});
-  EXPECT_EQ(dials.silenceTimeout(), Duration(1500ms));
-  for (const Duration patience : {Duration(3s), Duration(6s), Duration(6s)}) {
-    dials.onSessionEnded(Duration{0}, SessionEnd::unresponsive, false);
-    EXPECT_EQ(dials.silenceTimeout(), patience);
+  ReconnectSchedule schedule({}, false, 1, Duration{0});
+  EXPECT_EQ(schedule.silenceTimeout(), Duration(1500ms));
+  for (const Duration expectedTimeout : {Duration(3s), Duration(6s), Duration(6s)}) {
+    schedule.onSessionEnded(Duration{0}, SessionEnd::unresponsive, false);
+    EXPECT_EQ(schedule.silenceTimeout(), expectedTimeout);
   }
-  dials.onSessionEnded(Duration{0}, SessionEnd::unreachable, false);
-  EXPECT_EQ(dials.silenceTimeout(), Duration(6s));  // that says nothing of how slow it is
-  dials.onSessionData();
-  EXPECT_EQ(dials.silenceTimeout(), Duration(1500ms));
+  schedule.onSessionEnded(Duration{0}, SessionEnd::unreachable, false);
+  EXPECT_EQ(schedule.silenceTimeout(), Duration(6s));  // A failed connect does not indicate a slow service.
+  schedule.onSessionData();
+  EXPECT_EQ(schedule.silenceTimeout(), Duration(1500ms));
 }
 
-// ---- processes ------------------------------------------------------------------------------------------
+// ---- controller processes -------------------------------------------------------------------------------
 
 struct FleetStartFixture : fakes::TestScheduler {
   FleetStartFixture(int subnet, unsigned controllers, const std::string& rateSettings, bool hasCachedList) {
@@ -134,7 +135,7 @@
   bool waitUntilAllReady(std::chrono::milliseconds timeout) {
     return runUntil([&] { return countReady() == options.controllers; }, timeout);
   }
-  // A job at each; every one is done.
+  // Sends one request to each controller and expects all to be completed.
   void expectOneRequestServedEach() {
     loadGenerator->start(0, {fakes::FakeFleet::lookUpProfile()});
     const std::uint64_t doneBefore =
@@ -154,7 +155,7 @@
     std::ifstream file(fleet->logPath(controllerIndex));
     return {std::istreambuf_iterator<char>(file), {}};
   }
-  fakes::FakeEndpointList& listService() { return fleet->endpointList(); }
+  fakes::FakeEndpointList& endpointList() { return fleet->endpointList(); }
   fakes::FakeFleetOptions options;
   std::optional<fakes::FakeFleet> fleet;
   std::optional<fakes::LoadGenerator> loadGenerator;
@@ -184,151 +185,157 @@
   return results;
 }
 
-// Fifty that know the list, all executors cold, jobs knocking: off and on in one run. The rig's exit code
-// holds that no job is lost or doubled, and that no cold executor gets more than it can do.
+// Fifty controllers with a cached list start while all engines are cold and requests arrive; one run compares
+// the default with a reconnect rate. The load test's exit code covers that no request is lost or executed
+// twice and that no cold engine gets more than its capacity.
 TEST(FleetStart, LimitsListReadsAndKeepsThroughputWhenFiftyControllersHaveCachedList) {
-  const nlohmann::json told = runLoadtest(
+  const nlohmann::json results = runLoadtest(
       "--controllers 50 --engines 10 --seconds 7 --rate 1 --cold --with 'coldstart {\n follows = 10 \n}'");
-  ASSERT_EQ(told.size(), 2u);
-  const nlohmann::json &off = told[0], &on = told[1];
-  EXPECT_GE(off["list"]["reads"].get<int>(), 50);
-  EXPECT_GE(on["list"]["reads"].get<int>(), 50);
-  EXPECT_EQ(on["list"]["whole"], 0);
-  EXPECT_LE(on["list"]["peak_1s"].get<int>(), 25);  // 10 are meant
-  EXPECT_GT(on["jobs"]["done"].get<double>(), 0.5 * off["jobs"]["done"].get<double>());
+  ASSERT_EQ(results.size(), 2u);
+  const nlohmann::json &unlimited = results[0], &limited = results[1];
+  EXPECT_GE(unlimited["list"]["reads"].get<int>(), 50);
+  EXPECT_GE(limited["list"]["reads"].get<int>(), 50);
+  EXPECT_EQ(limited["list"]["whole"], 0);
+  EXPECT_LE(limited["list"]["peak_1s"].get<int>(), 25);  // The target is 10.
+  EXPECT_GT(limited["jobs"]["done"].get<double>(), 0.5 * unlimited["jobs"]["done"].get<double>());
 }
 
 TEST(FleetStart, SpreadsConnectsWhenListServiceComesUpLate) {
-  FleetStartFixture start(111, 24, "follows = 12\nreads = 12", false);  // windows of 2 s
-  start.startFakes();
-  start.listService().close();
-  start.startControllers();
-  start.runFor(2500ms);
-  EXPECT_EQ(start.countReady(), 0u);
-  start.listService().open();
-  EXPECT_TRUE(start.waitUntilAllReady(10s));
-  EXPECT_LE(maxCountWithin(start.listService().queryTimes, 500ms), 15u);  // 6 are meant
-  start.expectOneRequestServedEach();
+  FleetStartFixture fixture(111, 24, "follows = 12\nreads = 12", false);  // Spread windows of 2 s.
+  fixture.startFakes();
+  fixture.endpointList().close();
+  fixture.startControllers();
+  fixture.runFor(2500ms);
+  EXPECT_EQ(fixture.countReady(), 0u);
+  fixture.endpointList().open();
+  EXPECT_TRUE(fixture.waitUntilAllReady(10s));
+  EXPECT_LE(maxCountWithin(fixture.endpointList().queryTimes, 500ms), 15u);  // The target is 6.
+  fixture.expectOneRequestServedEach();
 }
 
 TEST(FleetStart, ServesFromCachedListWhenListServiceIsDown) {
-  FleetStartFixture start(112, 4, "", true);
-  start.startFakes();
-  start.listService().close();
-  start.startControllers();
-  EXPECT_TRUE(start.waitUntilAllReady(8s));
-  start.expectOneRequestServedEach();
+  FleetStartFixture fixture(112, 4, "", true);
+  fixture.startFakes();
+  fixture.endpointList().close();
+  fixture.startControllers();
+  EXPECT_TRUE(fixture.waitUntilAllReady(8s));
+  fixture.expectOneRequestServedEach();
 }
 
-// One answer takes longer than a beat and a half: taken for dead each time, nobody would ever have a list.
+// One response takes longer than the silence timeout of 1.5 heartbeat intervals. If every session were ended
+// by it, no controller would ever get a list.
 TEST(FleetStart, BecomesReadyWhenListServiceIsSlow) {
-  FleetStartFixture start(113, 2, "", false);
-  start.startFakes();
-  start.listService().behavior.answerDuration = 1800ms;
-  start.startControllers();
-  EXPECT_TRUE(start.waitUntilAllReady(30s));
-  start.expectOneRequestServedEach();
+  FleetStartFixture fixture(113, 2, "", false);
+  fixture.startFakes();
+  fixture.endpointList().behavior.answerDuration = 1800ms;
+  fixture.startControllers();
+  EXPECT_TRUE(fixture.waitUntilAllReady(30s));
+  fixture.expectOneRequestServedEach();
 }
 
 TEST(FleetStart, RequestsListAgainWhenResponseIsTruncated) {
-  FleetStartFixture start(114, 4, "", false);
-  start.startFakes();
-  start.listService().behavior.truncateAfterBytes = 150;
-  start.startControllers();
-  start.runFor(1500ms);
-  EXPECT_EQ(start.countReady(), 0u);
-  EXPECT_GE(start.listService().snapshotQueryTimes.size(), 4u);
-  EXPECT_LE(start.listService().snapshotQueryTimes.size(), 60u);
-  start.listService().behavior.truncateAfterBytes = 0;
-  EXPECT_TRUE(start.waitUntilAllReady(10s));
-  start.expectOneRequestServedEach();
+  FleetStartFixture fixture(114, 4, "", false);
+  fixture.startFakes();
+  fixture.endpointList().behavior.truncateAfterBytes = 150;
+  fixture.startControllers();
+  fixture.runFor(1500ms);
+  EXPECT_EQ(fixture.countReady(), 0u);
+  EXPECT_GE(fixture.endpointList().snapshotQueryTimes.size(), 4u);
+  EXPECT_LE(fixture.endpointList().snapshotQueryTimes.size(), 60u);
+  fixture.endpointList().behavior.truncateAfterBytes = 0;
+  EXPECT_TRUE(fixture.waitUntilAllReady(10s));
+  fixture.expectOneRequestServedEach();
 }
 
 TEST(FleetStart, BecomesReadyWhenListServiceRefusesMostConnections) {
-  FleetStartFixture start(115, 6, "reads = 12", false);  // a window of half a second
-  start.startFakes();
-  start.listService().behavior.refusalsPerTen = 8;
-  start.startControllers();
-  EXPECT_TRUE(start.waitUntilAllReady(40s));
-  EXPECT_LE(maxCountWithin(start.listService().acceptTimes, 1s), 36u);
-  start.expectOneRequestServedEach();
+  FleetStartFixture fixture(115, 6, "reads = 12", false);  // A spread window of 0.5 s.
+  fixture.startFakes();
+  fixture.endpointList().behavior.refusalsPerTen = 8;
+  fixture.startControllers();
+  EXPECT_TRUE(fixture.waitUntilAllReady(40s));
+  EXPECT_LE(maxCountWithin(fixture.endpointList().acceptTimes, 1s), 36u);
+  fixture.expectOneRequestServedEach();
 }
 
-// The engine that came last stays, though the service has gone back to before it; the first are away.
+// The service returns to a state from before the first five engines were removed: the controllers keep the
+// newer list, which has only the last engine.
 TEST(FleetStart, KeepsNewerListWhenServiceReturnsOlderOne) {
-  FleetStartFixture start(116, 2, "", true);
-  start.startFakes();
-  std::vector<fakes::FakeEndpointList::Endpoint> away;
-  for (unsigned value = 0; value < 5; ++value)
-    away.push_back({"s-" + std::to_string(value + 1), start.fleet->addressText(1 + value), "left"});
-  start.listService().publish(away);
-  start.startControllers();
-  EXPECT_TRUE(start.waitUntilAllReady(8s));
-  start.listService().close();
-  start.listService().behavior.lastVisibleSequence = 1;
-  start.listService().open();
-  EXPECT_TRUE(start.runUntil([&] { return start.readLog(0).find("an old list") != std::string::npos; }, 6s));
-  start.expectOneRequestServedEach();
-  EXPECT_EQ(start.fleet->engine(5).askCount(), 2u);
+  FleetStartFixture fixture(116, 2, "", true);
+  fixture.startFakes();
+  std::vector<fakes::FakeEndpointList::Endpoint> endpoints;
+  for (unsigned index = 0; index < 5; ++index)
+    endpoints.push_back({"s-" + std::to_string(index + 1), fixture.fleet->addressText(1 + index), "left"});
+  fixture.endpointList().publish(endpoints);
+  fixture.startControllers();
+  EXPECT_TRUE(fixture.waitUntilAllReady(8s));
+  fixture.endpointList().close();
+  fixture.endpointList().behavior.lastVisibleSequence = 1;
+  fixture.endpointList().open();
+  EXPECT_TRUE(
+      fixture.runUntil([&] { return fixture.readLog(0).find("an old list") != std::string::npos; }, 6s));
+  fixture.expectOneRequestServedEach();
+  EXPECT_EQ(fixture.fleet->engine(5).askCount(), 2u);
 }
 
 TEST(FleetStart, ReconnectsAndLearnsChangesWhenWatchFallsSilent) {
-  FleetStartFixture start(117, 3, "follows = 6", true);
-  start.startFakes();
-  start.listService().behavior.silentAfterAnswer = true;
-  start.startControllers();
-  EXPECT_TRUE(start.waitUntilAllReady(8s));
-  start.runFor(1s);
-  std::vector<fakes::FakeEndpointList::Endpoint> away;
-  for (unsigned value = 1; value < 6; ++value)
-    away.push_back({"s-" + std::to_string(value + 1), start.fleet->addressText(1 + value), "left"});
-  start.listService().publish(away);  // nobody is told
-  const std::size_t before = start.listService().queryTimes.size();
-  start.listService().behavior.silentAfterAnswer = false;
-  EXPECT_TRUE(start.runUntil([&] { return start.listService().queryTimes.size() >= before + 3; }, 15s));
-  start.runFor(500ms);
-  start.expectOneRequestServedEach();
-  EXPECT_EQ(start.fleet->engine(0).askCount(), 3u);
+  FleetStartFixture fixture(117, 3, "follows = 6", true);
+  fixture.startFakes();
+  fixture.endpointList().behavior.silentAfterAnswer = true;
+  fixture.startControllers();
+  EXPECT_TRUE(fixture.waitUntilAllReady(8s));
+  fixture.runFor(1s);
+  std::vector<fakes::FakeEndpointList::Endpoint> endpoints;
+  for (unsigned index = 1; index < 6; ++index)
+    endpoints.push_back({"s-" + std::to_string(index + 1), fixture.fleet->addressText(1 + index), "left"});
+  fixture.endpointList().publish(endpoints);  // No session reports it.
+  const std::size_t queriesBefore = fixture.endpointList().queryTimes.size();
+  fixture.endpointList().behavior.silentAfterAnswer = false;
+  EXPECT_TRUE(
+      fixture.runUntil([&] { return fixture.endpointList().queryTimes.size() >= queriesBefore + 3; }, 15s));
+  fixture.runFor(500ms);
+  fixture.expectOneRequestServedEach();
+  EXPECT_EQ(fixture.fleet->engine(0).askCount(), 3u);
 }
 
 TEST(FleetStart, LosesNoRequestOfSurvivorsWhenHalfAreKilledDuringStart) {
-  FleetStartFixture start(118, 10, "follows = 10\nreads = 10", false);
-  start.startFakes();
-  start.loadGenerator->start(50, {fakes::FakeFleet::lookUpProfile()});
-  start.startControllers();
-  start.runUntil([&] { return start.countReady() >= 3; }, 8s);
-  for (std::size_t index = 0; index < 5; ++index) start.fleet->controller(index).sendSignal(SIGKILL);
-  start.runUntil(
-      [&] { return start.fleet->controller(0).exitCode() && start.fleet->controller(4).exitCode(); }, 2s);
-  for (std::size_t item = 0; item < 5; ++item) start.fleet->startController(item);
-  EXPECT_TRUE(start.waitUntilAllReady(15s));
-  start.runFor(500ms);
-  start.loadGenerator->stop();
-  EXPECT_TRUE(start.runUntil([&] { return start.loadGenerator->counters().open == 0; }, 6s));
-  for (const fakes::LoadGenerator::Request& job : start.loadGenerator->requests())
-    EXPECT_FALSE(job.lost && job.controller >= 5);
-  EXPECT_EQ(start.loadGenerator->counters().duplicateAnswers, 0u);
+  FleetStartFixture fixture(118, 10, "follows = 10\nreads = 10", false);
+  fixture.startFakes();
+  fixture.loadGenerator->start(50, {fakes::FakeFleet::lookUpProfile()});
+  fixture.startControllers();
+  fixture.runUntil([&] { return fixture.countReady() >= 3; }, 8s);
+  for (std::size_t index = 0; index < 5; ++index) fixture.fleet->controller(index).sendSignal(SIGKILL);
+  fixture.runUntil(
+      [&] { return fixture.fleet->controller(0).exitCode() && fixture.fleet->controller(4).exitCode(); }, 2s);
+  for (std::size_t index = 0; index < 5; ++index) fixture.fleet->startController(index);
+  EXPECT_TRUE(fixture.waitUntilAllReady(15s));
+  fixture.runFor(500ms);
+  fixture.loadGenerator->stop();
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.loadGenerator->counters().open == 0; }, 6s));
+  for (const fakes::LoadGenerator::Request& request : fixture.loadGenerator->requests())
+    EXPECT_FALSE(request.lost && request.controller >= 5);
+  EXPECT_EQ(fixture.loadGenerator->counters().duplicateAnswers, 0u);
 }
 
-// They go to the other service one by one, and follow the old one until then.
+// Controllers switch to the new service one by one and follow the old one until then.
 TEST(FleetStart, SpreadsConnectsToNewListServiceWhenReloaded) {
-  FleetStartFixture start(119, 12, "follows = 6", true);  // a window of 2 s
-  start.startFakes();
-  start.startControllers();
-  EXPECT_TRUE(start.waitUntilAllReady(8s));
-  EXPECT_TRUE(start.runUntil([&] { return start.listService().queryTimes.size() >= 12; }, 8s));
-  fakes::FakeEndpointList other(start, start.outputBudget, transport::Address(start.fleet->addressText(251)));
-  std::vector<fakes::FakeEndpointList::Endpoint> all;
-  for (unsigned value = 0; value < 6; ++value)
-    all.push_back({"s-" + std::to_string(value + 1), start.fleet->addressText(1 + value)});
-  other.publish(all, true);
+  FleetStartFixture fixture(119, 12, "follows = 6", true);  // A spread window of 2 s.
+  fixture.startFakes();
+  fixture.startControllers();
+  EXPECT_TRUE(fixture.waitUntilAllReady(8s));
+  EXPECT_TRUE(fixture.runUntil([&] { return fixture.endpointList().queryTimes.size() >= 12; }, 8s));
+  fakes::FakeEndpointList newService(fixture, fixture.outputBudget,
+                                     transport::Address(fixture.fleet->addressText(251)));
+  std::vector<fakes::FakeEndpointList::Endpoint> endpoints;
+  for (unsigned index = 0; index < 6; ++index)
+    endpoints.push_back({"s-" + std::to_string(index + 1), fixture.fleet->addressText(1 + index)});
+  newService.publish(endpoints, true);
   for (std::size_t index = 0; index < 12; ++index)
-    start.fleet->changeEndpointList(index, start.fleet->addressText(251));
-  EXPECT_TRUE(start.runUntil([&] { return other.queryTimes.size() == 12; }, 8s));
-  EXPECT_EQ(other.snapshotQueryTimes.size(), 0u);  // followed from where they were
-  EXPECT_LE(maxCountWithin(other.queryTimes, 300ms), 8u);
-  EXPECT_EQ(start.listService().queryTimes.size(), 12u);
-  start.expectOneRequestServedEach();
+    fixture.fleet->changeEndpointList(index, fixture.fleet->addressText(251));
+  EXPECT_TRUE(fixture.runUntil([&] { return newService.queryTimes.size() == 12; }, 8s));
+  EXPECT_EQ(newService.snapshotQueryTimes.size(), 0u);  // All resume from their last event.
+  EXPECT_LE(maxCountWithin(newService.queryTimes, 300ms), 8u);
+  EXPECT_EQ(fixture.endpointList().queryTimes.size(), 12u);
+  fixture.expectOneRequestServedEach();
 }
 
 }  // namespace
--- a/tests/drain/drain_progress_test.cpp
+++ b/tests/drain/drain_progress_test.cpp
@@ -1,4 +1,5 @@
-// The drain's decisions: by story, and by long random walks.
+// Tests the drain state machine by scenarios and random event sequences, the completion estimator, the
+// rolling drain, and the rejection of open requests.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -14,212 +15,214 @@
 using namespace std::chrono_literals;
 
 struct DrainFixture {
-  explicit DrainFixture(Options options = {800ms, 20s, 1h, 2s}) : progress(options) {}
+  explicit DrainFixture(Options options = {800ms, 20s, 1h, 2s}) : stateMachine(options) {}
   DrainStateMachine::Actions advanceTo(Duration time, std::size_t openRequests = 0,
                                        std::size_t unsentBytes = 0) {
     now = time;
     openWork.openRequests = openRequests;
     openWork.unsentBytes = unsentBytes;
-    return progress.advance(now, openWork);
+    return stateMachine.advance(now, openWork);
   }
   void requestDrain(std::optional<Duration> deadline = {}) {
-    EXPECT_EQ(progress.requestDrain(now, deadline, {}, openWork), DrainError::none);
+    EXPECT_EQ(stateMachine.requestDrain(now, deadline, {}, openWork), DrainError::none);
   }
-  DrainStateMachine progress;
+  DrainStateMachine stateMachine;
   OpenWork openWork;
   Duration now{0};
 };
 
 TEST(DrainProgress, FailsHeartbeatsThenRejectsThenDrainsWhenRequested) {
-  DrainFixture one;
-  EXPECT_TRUE(one.progress.onHeartbeat(0s));
-  one.advanceTo(1s, 3);
-  one.requestDrain();
-  EXPECT_FALSE(one.progress.rejectionRetryAfter());
-  EXPECT_FALSE(one.progress.onHeartbeat(1100ms));
-  one.advanceTo(1899ms, 3);
-  EXPECT_FALSE(one.progress.rejectionRetryAfter());  // the front layer has not noticed
-  one.advanceTo(1900ms, 3);
-  EXPECT_EQ(one.progress.state(), State::closing);
-  EXPECT_EQ(one.progress.rejectionRetryAfter(), 2s);
-  one.advanceTo(3s, 0, 10);  // an answer is still being written
-  EXPECT_EQ(one.progress.state(), State::closing);
-  one.advanceTo(3100ms, 0, 0);
-  EXPECT_EQ(one.progress.state(), State::drained);
-  EXPECT_EQ(one.progress.progress()->drainedAt, 3100ms);
-  EXPECT_FALSE(one.progress.progress()->deadlineMissed);
-  EXPECT_FALSE(one.progress.nextAdvanceAt(4s));
+  DrainFixture fixture;
+  EXPECT_TRUE(fixture.stateMachine.onHeartbeat(0s));
+  fixture.advanceTo(1s, 3);
+  fixture.requestDrain();
+  EXPECT_FALSE(fixture.stateMachine.rejectionRetryAfter());
+  EXPECT_FALSE(fixture.stateMachine.onHeartbeat(1100ms));
+  fixture.advanceTo(1899ms, 3);
+  EXPECT_FALSE(fixture.stateMachine.rejectionRetryAfter());  // The front layer has not reacted yet.
+  fixture.advanceTo(1900ms, 3);
+  EXPECT_EQ(fixture.stateMachine.state(), State::closing);
+  EXPECT_EQ(fixture.stateMachine.rejectionRetryAfter(), 2s);
+  fixture.advanceTo(3s, 0, 10);  // A response is still being sent.
+  EXPECT_EQ(fixture.stateMachine.state(), State::closing);
+  fixture.advanceTo(3100ms, 0, 0);
+  EXPECT_EQ(fixture.stateMachine.state(), State::drained);
+  EXPECT_EQ(fixture.stateMachine.progress()->drainedAt, 3100ms);
+  EXPECT_FALSE(fixture.stateMachine.progress()->deadlineMissed);
+  EXPECT_FALSE(fixture.stateMachine.nextAdvanceAt(4s));
 }
 
 TEST(DrainProgress, ClosesAfterNoticePeriodWhenNoHeartbeatArrives) {
-  DrainFixture one;
-  one.requestDrain();
-  one.advanceTo(1599ms, 1);
-  EXPECT_EQ(one.progress.state(), State::leaving);
-  one.advanceTo(1600ms, 1);
-  EXPECT_EQ(one.progress.state(), State::closing);
+  DrainFixture fixture;
+  fixture.requestDrain();
+  fixture.advanceTo(1599ms, 1);
+  EXPECT_EQ(fixture.stateMachine.state(), State::leaving);
+  fixture.advanceTo(1600ms, 1);
+  EXPECT_EQ(fixture.stateMachine.state(), State::closing);
 }
 
 TEST(DrainProgress, EndsOpenRequestsAndWaitsNoLongerForUnreadBytesWhenDeadlinePasses) {
-  DrainFixture one;
-  one.advanceTo(0s, 4);
-  one.requestDrain(5s);
-  EXPECT_FALSE(one.advanceTo(4999ms, 4).shouldEndRequests);
-  EXPECT_TRUE(one.advanceTo(5s, 4).shouldEndRequests);
-  EXPECT_FALSE(one.advanceTo(5s, 0, 99).shouldEndRequests);
-  EXPECT_EQ(one.progress.state(), State::ending);
-  one.advanceTo(5799ms, 0, 99);
-  EXPECT_EQ(one.progress.state(), State::ending);
-  one.advanceTo(5800ms, 0, 99);
-  EXPECT_EQ(one.progress.state(), State::drained);
-  EXPECT_TRUE(one.progress.progress()->deadlineMissed);
-  EXPECT_EQ(one.progress.progress()->requestsEndedByDeadline, 4U);
+  DrainFixture fixture;
+  fixture.advanceTo(0s, 4);
+  fixture.requestDrain(5s);
+  EXPECT_FALSE(fixture.advanceTo(4999ms, 4).shouldEndRequests);
+  EXPECT_TRUE(fixture.advanceTo(5s, 4).shouldEndRequests);
+  EXPECT_FALSE(fixture.advanceTo(5s, 0, 99).shouldEndRequests);
+  EXPECT_EQ(fixture.stateMachine.state(), State::ending);
+  fixture.advanceTo(5799ms, 0, 99);
+  EXPECT_EQ(fixture.stateMachine.state(), State::ending);
+  fixture.advanceTo(5800ms, 0, 99);
+  EXPECT_EQ(fixture.stateMachine.state(), State::drained);
+  EXPECT_TRUE(fixture.stateMachine.progress()->deadlineMissed);
+  EXPECT_EQ(fixture.stateMachine.progress()->requestsEndedByDeadline, 4U);
 }
 
-// A process that stood still once ended at its first look, with requests unread that had come meanwhile.
-TEST(DrainProgress, LooksOnceMoreBeforeExitWhenProcessStalled) {
-  DrainFixture one;
-  one.progress.onTerminate(0s, 2s);
-  EXPECT_FALSE(one.advanceTo(0s).shouldExit);
-  EXPECT_FALSE(one.advanceTo(900ms).shouldExit);  // 140 ms late
-  EXPECT_GT(one.progress.nextAdvanceAt(900ms), 920ms);
-  EXPECT_FALSE(one.advanceTo(940ms, 1).shouldExit);  // one had come
-  EXPECT_TRUE(one.advanceTo(960ms).shouldExit);
-  DrainFixture other;
-  other.progress.onTerminate(0s, 2s);
-  other.advanceTo(0s, 3);
-  EXPECT_FALSE(other.advanceTo(5s, 3, 0).shouldExit);  // past its last moment: answers are still to be made
-  EXPECT_TRUE(other.advanceTo(*other.progress.nextAdvanceAt(5s), 0, 0).shouldExit);
+// Guards against a process that exits on its first advance() after a stall, without reading the requests that
+// arrived during the stall.
+TEST(DrainProgress, ReadsPendingInputBeforeExitWhenProcessStalled) {
+  DrainFixture fixture;
+  fixture.stateMachine.onTerminate(0s, 2s);
+  EXPECT_FALSE(fixture.advanceTo(0s).shouldExit);
+  EXPECT_FALSE(fixture.advanceTo(900ms).shouldExit);  // 140 ms late.
+  EXPECT_GT(fixture.stateMachine.nextAdvanceAt(900ms), 920ms);
+  EXPECT_FALSE(fixture.advanceTo(940ms, 1).shouldExit);  // A request had arrived.
+  EXPECT_TRUE(fixture.advanceTo(960ms).shouldExit);
+  DrainFixture withOpenRequests;
+  withOpenRequests.stateMachine.onTerminate(0s, 2s);
+  withOpenRequests.advanceTo(0s, 3);
+  EXPECT_FALSE(withOpenRequests.advanceTo(5s, 3, 0)
+                   .shouldExit);  // Past the exit deadline, but open requests have no response yet.
+  EXPECT_TRUE(withOpenRequests.advanceTo(*withOpenRequests.stateMachine.nextAdvanceAt(5s), 0, 0).shouldExit);
 }
 
 TEST(DrainProgress, DelaysExitWhenConnectionsAreArriving) {
-  DrainFixture one;
-  one.progress.onTerminate(0s, 2s);
-  one.advanceTo(0s);
-  one.openWork.incomingClients = 1;
-  EXPECT_FALSE(one.advanceTo(760ms).shouldExit);
-  one.openWork.incomingClients = 0;
-  EXPECT_TRUE(one.advanceTo(780ms).shouldExit);
+  DrainFixture fixture;
+  fixture.stateMachine.onTerminate(0s, 2s);
+  fixture.advanceTo(0s);
+  fixture.openWork.incomingClients = 1;
+  EXPECT_FALSE(fixture.advanceTo(760ms).shouldExit);
+  fixture.openWork.incomingClients = 0;
+  EXPECT_TRUE(fixture.advanceTo(780ms).shouldExit);
 }
 
 TEST(DrainProgress, EndsRequestsImmediatelyWhenDeadlineIsZero) {
-  DrainFixture one;
-  one.advanceTo(3s, 2);
-  one.requestDrain(0s);
-  EXPECT_TRUE(one.advanceTo(3s, 2).shouldEndRequests);
-  one.advanceTo(3s, 0);
-  EXPECT_EQ(one.progress.state(), State::drained);
-  DrainFixture idle;
-  idle.requestDrain(0s);
-  idle.advanceTo(0s);
-  EXPECT_EQ(idle.progress.state(), State::drained);
-  EXPECT_FALSE(idle.progress.progress()->deadlineMissed);
+  DrainFixture fixture;
+  fixture.advanceTo(3s, 2);
+  fixture.requestDrain(0s);
+  EXPECT_TRUE(fixture.advanceTo(3s, 2).shouldEndRequests);
+  fixture.advanceTo(3s, 0);
+  EXPECT_EQ(fixture.stateMachine.state(), State::drained);
+  DrainFixture idleFixture;
+  idleFixture.requestDrain(0s);
+  idleFixture.advanceTo(0s);
+  EXPECT_EQ(idleFixture.stateMachine.state(), State::drained);
+  EXPECT_FALSE(idleFixture.stateMachine.progress()->deadlineMissed);
 }
 
 TEST(DrainProgress, RefusesWithoutStateChangeWhenRequestIsInvalid) {
-  DrainFixture one;
-  EXPECT_EQ(one.progress.requestDrain(0s, -1ms, {}, {}), DrainError::invalidDeadline);
-  EXPECT_EQ(one.progress.requestDrain(0s, 61min, {}, {}), DrainError::invalidDeadline);
-  EXPECT_EQ(one.progress.requestDrain(0s, {}, -1ms, {}), DrainError::invalidRetryAfter);
-  EXPECT_EQ(one.progress.cancelDrain(0s), DrainError::notDraining);
-  EXPECT_EQ(one.progress.state(), State::serving);
-  EXPECT_FALSE(one.progress.progress());
+  DrainFixture fixture;
+  EXPECT_EQ(fixture.stateMachine.requestDrain(0s, -1ms, {}, {}), DrainError::invalidDeadline);
+  EXPECT_EQ(fixture.stateMachine.requestDrain(0s, 61min, {}, {}), DrainError::invalidDeadline);
+  EXPECT_EQ(fixture.stateMachine.requestDrain(0s, {}, -1ms, {}), DrainError::invalidRetryAfter);
+  EXPECT_EQ(fixture.stateMachine.cancelDrain(0s), DrainError::notDraining);
+  EXPECT_EQ(fixture.stateMachine.state(), State::serving);
+  EXPECT_FALSE(fixture.stateMachine.progress());
 }
 
-TEST(DrainProgress, TakesNewDeadlineAndStaysOneDrainWhenRequestedAgain) {
-  DrainFixture one;
-  one.advanceTo(0s, 1);
-  one.requestDrain(10s);
-  one.advanceTo(1s, 1);
-  one.requestDrain();  // no word of a deadline: it stays
-  EXPECT_EQ(one.progress.progress()->deadline, 10s);
-  one.requestDrain(2s);
-  EXPECT_EQ(one.progress.progress()->deadline, 3s);
-  one.requestDrain(30s);
-  EXPECT_EQ(one.progress.progress()->deadline, 31s);
-  EXPECT_EQ(one.progress.progress()->number, 1U);
-  one.advanceTo(31s, 1);
-  one.requestDrain(60s);  // too late
-  EXPECT_EQ(one.progress.progress()->deadline, 31s);
-  EXPECT_EQ(one.progress.state(), State::ending);
+TEST(DrainProgress, ReplacesDeadlineOfSameDrainWhenRequestedAgain) {
+  DrainFixture fixture;
+  fixture.advanceTo(0s, 1);
+  fixture.requestDrain(10s);
+  fixture.advanceTo(1s, 1);
+  fixture.requestDrain();  // Without a deadline: the previous one remains.
+  EXPECT_EQ(fixture.stateMachine.progress()->deadline, 10s);
+  fixture.requestDrain(2s);
+  EXPECT_EQ(fixture.stateMachine.progress()->deadline, 3s);
+  fixture.requestDrain(30s);
+  EXPECT_EQ(fixture.stateMachine.progress()->deadline, 31s);
+  EXPECT_EQ(fixture.stateMachine.progress()->number, 1U);
+  fixture.advanceTo(31s, 1);
+  fixture.requestDrain(60s);  // Too late.
+  EXPECT_EQ(fixture.stateMachine.progress()->deadline, 31s);
+  EXPECT_EQ(fixture.stateMachine.state(), State::ending);
 }
 
 TEST(DrainProgress, ServesFromNextHeartbeatWhenCancelledInAnyState) {
-  for (const Duration when : std::initializer_list<Duration>{0ms, 900ms, 1700ms, 5s, 7s}) {
-    DrainFixture one;
-    one.advanceTo(0s, when >= 7s ? 0 : 1);
-    one.requestDrain(5s);
-    one.advanceTo(when, when >= 5s ? 0 : 1, when == 5s ? 9 : 0);
-    const State state = one.progress.state();
-    EXPECT_EQ(one.progress.cancelDrain(when), DrainError::none) << nameOf(state);
-    EXPECT_FALSE(one.progress.rejectionRetryAfter());
-    EXPECT_EQ(one.progress.state(), State::comingBack);
-    EXPECT_TRUE(one.progress.onHeartbeat(when + 1ms));
-    EXPECT_EQ(one.progress.state(), State::serving);
-    EXPECT_FALSE(one.advanceTo(20s, 5).shouldEndRequests);  // the old deadline means nothing
-    EXPECT_EQ(one.progress.cancelDrain(20s), DrainError::notDraining);
+  for (const Duration cancelledAt : std::initializer_list<Duration>{0ms, 900ms, 1700ms, 5s, 7s}) {
+    DrainFixture fixture;
+    fixture.advanceTo(0s, cancelledAt >= 7s ? 0 : 1);
+    fixture.requestDrain(5s);
+    fixture.advanceTo(cancelledAt, cancelledAt >= 5s ? 0 : 1, cancelledAt == 5s ? 9 : 0);
+    const State state = fixture.stateMachine.state();
+    EXPECT_EQ(fixture.stateMachine.cancelDrain(cancelledAt), DrainError::none) << nameOf(state);
+    EXPECT_FALSE(fixture.stateMachine.rejectionRetryAfter());
+    EXPECT_EQ(fixture.stateMachine.state(), State::comingBack);
+    EXPECT_TRUE(fixture.stateMachine.onHeartbeat(cancelledAt + 1ms));
+    EXPECT_EQ(fixture.stateMachine.state(), State::serving);
+    EXPECT_FALSE(fixture.advanceTo(20s, 5).shouldEndRequests);  // The old deadline no longer applies.
+    EXPECT_EQ(fixture.stateMachine.cancelDrain(20s), DrainError::notDraining);
   }
 }
 
 TEST(DrainProgress, KeepsEarlierDeadlineWhenStopped) {
-  DrainFixture late;
-  late.advanceTo(0s, 1);
-  late.requestDrain(20s);
-  late.advanceTo(1s, 1);
-  late.progress.onTerminate(1s, 10s);
-  EXPECT_EQ(late.progress.responseDeadline(), 4100ms);
-  EXPECT_EQ(late.progress.progress()->deadline, 4100ms);
-  EXPECT_EQ(late.progress.cancelDrain(2s), DrainError::stopping);
-  EXPECT_TRUE(late.advanceTo(4100ms, 1).shouldEndRequests);
-  EXPECT_TRUE(late.advanceTo(4100ms, 0).shouldExit);
-  DrainFixture early;
-  early.advanceTo(0s, 1);
-  early.requestDrain(2s);
-  early.progress.onTerminate(1s, 10s);
-  EXPECT_TRUE(early.advanceTo(2s, 1).shouldEndRequests);
-  EXPECT_TRUE(early.advanceTo(2s, 0).shouldExit);
-  DrainFixture none;  // as before there was a drain
-  none.progress.onTerminate(0s, 10s);
-  EXPECT_FALSE(none.progress.onHeartbeat(1ms));
-  EXPECT_FALSE(none.progress.rejectionRetryAfter());
-  EXPECT_FALSE(none.advanceTo(759ms, 0).shouldExit);
-  EXPECT_TRUE(none.advanceTo(760ms, 0).shouldExit);
-  EXPECT_FALSE(none.advanceTo(3350ms, 1).shouldExit);
-  EXPECT_FALSE(none.advanceTo(3399ms, 1).shouldExit);
-  EXPECT_TRUE(none.advanceTo(3400ms, 1).shouldExit);
-  DrainFixture after;
-  after.progress.onTerminate(0s, 10s);
-  after.requestDrain(20s);  // asked after it: never longer than the process lives
-  EXPECT_EQ(after.progress.progress()->deadline, 3100ms);
+  DrainFixture drainEndsAfterExit;
+  drainEndsAfterExit.advanceTo(0s, 1);
+  drainEndsAfterExit.requestDrain(20s);
+  drainEndsAfterExit.advanceTo(1s, 1);
+  drainEndsAfterExit.stateMachine.onTerminate(1s, 10s);
+  EXPECT_EQ(drainEndsAfterExit.stateMachine.responseDeadline(), 4100ms);
+  EXPECT_EQ(drainEndsAfterExit.stateMachine.progress()->deadline, 4100ms);
+  EXPECT_EQ(drainEndsAfterExit.stateMachine.cancelDrain(2s), DrainError::stopping);
+  EXPECT_TRUE(drainEndsAfterExit.advanceTo(4100ms, 1).shouldEndRequests);
+  EXPECT_TRUE(drainEndsAfterExit.advanceTo(4100ms, 0).shouldExit);
+  DrainFixture drainEndsBeforeExit;
+  drainEndsBeforeExit.advanceTo(0s, 1);
+  drainEndsBeforeExit.requestDrain(2s);
+  drainEndsBeforeExit.stateMachine.onTerminate(1s, 10s);
+  EXPECT_TRUE(drainEndsBeforeExit.advanceTo(2s, 1).shouldEndRequests);
+  EXPECT_TRUE(drainEndsBeforeExit.advanceTo(2s, 0).shouldExit);
+  DrainFixture withoutDrain;  // Without a drain.
+  withoutDrain.stateMachine.onTerminate(0s, 10s);
+  EXPECT_FALSE(withoutDrain.stateMachine.onHeartbeat(1ms));
+  EXPECT_FALSE(withoutDrain.stateMachine.rejectionRetryAfter());
+  EXPECT_FALSE(withoutDrain.advanceTo(759ms, 0).shouldExit);
+  EXPECT_TRUE(withoutDrain.advanceTo(760ms, 0).shouldExit);
+  EXPECT_FALSE(withoutDrain.advanceTo(3350ms, 1).shouldExit);
+  EXPECT_FALSE(withoutDrain.advanceTo(3399ms, 1).shouldExit);
+  EXPECT_TRUE(withoutDrain.advanceTo(3400ms, 1).shouldExit);
+  DrainFixture drainAfterTerminate;
+  drainAfterTerminate.stateMachine.onTerminate(0s, 10s);
+  drainAfterTerminate.requestDrain(20s);  // Requested after SIGTERM: limited by the exit deadline.
+  EXPECT_EQ(drainAfterTerminate.stateMachine.progress()->deadline, 3100ms);
 }
 
-// Any order of all that can happen, over simulated jobs: each gets one outcome, none is ended before the
-// deadline, every state has a way out, and SIGTERM always ends it in time.
+// Random event sequences over simulated requests: each request gets exactly one outcome, none is ended before
+// the deadline, every state can be left, and SIGTERM always ends the process in time.
 RC_GTEST_PROP(DrainProgressProperty, GivesEachRequestOneOutcomeAndAlwaysEndsWhenEventsAreRandom, ()) {
-  const Options terms{800ms, 20s, 1h, 2s};
-  DrainStateMachine drain(terms);
-  std::vector<unsigned> outcomes;
-  std::vector<std::size_t> open;
+  const Options options{800ms, 20s, 1h, 2s};
+  DrainStateMachine drain(options);
+  std::vector<unsigned> outcomeCounts;
+  std::vector<std::size_t> openRequests;
   Duration now{0};
-  std::optional<Duration> sigterm;
+  std::optional<Duration> terminatedAt;
   bool exited = false;
   std::uint64_t deadlineEnds = 0;
-  const auto books = [&] {
-    OpenWork made;
-    made.openRequests = open.size();
-    return made;
+  const auto openWork = [&] {
+    OpenWork work;
+    work.openRequests = openRequests.size();
+    return work;
   };
-  const auto settle = [&] {
-    for (int round = 0; round < 2 && !exited; ++round) {
-      const DrainStateMachine::Actions act = drain.advance(now, books());
-      exited = act.shouldExit;
-      if (!act.shouldEndRequests) return;
+  const auto advanceDrain = [&] {
+    for (int iteration = 0; iteration < 2 && !exited; ++iteration) {
+      const DrainStateMachine::Actions actions = drain.advance(now, openWork());
+      exited = actions.shouldExit;
+      if (!actions.shouldEndRequests) return;
       RC_ASSERT(drain.progress() && now >= drain.progress()->deadline);
       RC_ASSERT(drain.state() == State::ending);
-      for (const std::size_t index : open) ++outcomes[index], ++deadlineEnds;
-      open.clear();
+      for (const std::size_t index : openRequests) ++outcomeCounts[index], ++deadlineEnds;
+      openRequests.clear();
     }
-    RC_ASSERT(exited || !drain.advance(now, books()).shouldEndRequests);
+    RC_ASSERT(exited || !drain.advance(now, openWork()).shouldEndRequests);
   };
   const int steps = *rc::gen::inRange(20, 300);
   for (int step = 0; step < steps && !exited; ++step) {
@@ -229,93 +232,98 @@
             now,
             *rc::gen::element<std::optional<Duration>>(std::nullopt, Duration{0}, Duration{500ms},
                                                        Duration{3s}, Duration{-1s}, Duration{2h}),
-            std::nullopt, books());
+            std::nullopt, openWork());
         break;
       case 1: {
-        const bool could = drain.isDraining() || drain.state() == State::drained;
-        const DrainError refused = drain.cancelDrain(now);
-        RC_ASSERT((refused == DrainError::none) == (could && !sigterm));
+        const bool isCancellable = drain.isDraining() || drain.state() == State::drained;
+        const DrainError error = drain.cancelDrain(now);
+        RC_ASSERT((error == DrainError::none) == (isCancellable && !terminatedAt));
         break;
       }
       case 2:
-        if (*rc::gen::inRange(0, 12) == 0 && !sigterm) sigterm = now, drain.onTerminate(now, 10s);
+        if (*rc::gen::inRange(0, 12) == 0 && !terminatedAt) terminatedAt = now, drain.onTerminate(now, 10s);
         break;
       case 3: {
-        const bool good = drain.onHeartbeat(now);
-        RC_ASSERT(good == (drain.state() == State::serving));
-        if (good) RC_ASSERT(!drain.rejectionRetryAfter() && !sigterm);
+        const bool isHealthy = drain.onHeartbeat(now);
+        RC_ASSERT(isHealthy == (drain.state() == State::serving));
+        if (isHealthy) RC_ASSERT(!drain.rejectionRetryAfter() && !terminatedAt);
         break;
       }
       case 4:
       case 5:
-      case 6:  // a job comes
-        outcomes.push_back(0);
+      case 6:  // A request arrives.
+        outcomeCounts.push_back(0);
         if (drain.rejectionRetryAfter()) {
-          ++outcomes.back();
+          ++outcomeCounts.back();
         } else {
           RC_ASSERT(drain.state() != State::drained && drain.state() != State::ending);
-          open.push_back(outcomes.size() - 1);
+          openRequests.push_back(outcomeCounts.size() - 1);
         }
         break;
       case 7:
-        if (!open.empty()) {
-          ++outcomes[open.back()];
-          open.pop_back();
+        if (!openRequests.empty()) {
+          ++outcomeCounts[openRequests.back()];
+          openRequests.pop_back();
         }
         break;
       default: {
-        const Duration pass =
+        const Duration elapsed =
             *rc::gen::element(Duration{1ms}, Duration{20ms}, Duration{400ms}, Duration{900ms}, Duration{4s});
-        const auto next = drain.nextAdvanceAt(now);
-        now = next ? std::min(now + pass, std::max(*next, now + Duration{1})) : now + pass;
+        const auto nextAdvanceAt = drain.nextAdvanceAt(now);
+        now = nextAdvanceAt ? std::min(now + elapsed, std::max(*nextAdvanceAt, now + Duration{1}))
+                            : now + elapsed;
       }
     }
-    settle();
-    if (drain.state() == State::drained) RC_ASSERT(open.empty());
-    if (sigterm) RC_ASSERT(now <= *sigterm + 3400ms + 4s);
+    advanceDrain();
+    if (drain.state() == State::drained) RC_ASSERT(openRequests.empty());
+    if (terminatedAt) RC_ASSERT(now <= *terminatedAt + 3400ms + 4s);
   }
-  // The way out: time alone ends a drain; a cancel and a beat bring it back, unless the process is to end.
-  if (!exited && sigterm) {
-    now = std::max(now, *sigterm + 3400ms);
-    settle();
-    if (!exited) now = *drain.nextAdvanceAt(now), settle();  // the look was late: it reads on first, once
+  // Every state can be left: time alone finishes a drain, and a cancel and a heartbeat return the controller
+  // to service, unless the process is stopping.
+  if (!exited && terminatedAt) {
+    now = std::max(now, *terminatedAt + 3400ms);
+    advanceDrain();
+    if (!exited)
+      now = *drain.nextAdvanceAt(now),
+      advanceDrain();  // The call was late: input is read once more before exit.
     RC_ASSERT(exited);
   } else if (!exited) {
     if (drain.isDraining()) {
-      for (int look = 0; look < 4 && drain.state() != State::drained; ++look) {
+      for (int iteration = 0; iteration < 4 && drain.state() != State::drained; ++iteration) {
         now = std::max(now, drain.progress()->deadline) + 800ms;
-        settle();
+        advanceDrain();
       }
-      RC_ASSERT(drain.state() == State::drained && open.empty());
+      RC_ASSERT(drain.state() == State::drained && openRequests.empty());
     }
     drain.cancelDrain(now);
     RC_ASSERT(drain.onHeartbeat(now) && drain.state() == State::serving);
   }
-  for (std::size_t index = 0; index < outcomes.size(); ++index)
-    RC_ASSERT(outcomes[index] == (std::count(open.begin(), open.end(), index) > 0 ? 0U : 1U));
+  for (std::size_t index = 0; index < outcomeCounts.size(); ++index)
+    RC_ASSERT(outcomeCounts[index] ==
+              (std::count(openRequests.begin(), openRequests.end(), index) > 0 ? 0U : 1U));
 }
 
-// ---- the expected end ----------------------------------------------------------------------------------
+// ---- CompletionEstimator -------------------------------------------------------------------------------
 
 TEST(CompletionEstimator, PredictsFromSimilarRequestsWithinTimeLeftWhenHistoryExists) {
-  CompletionEstimator outlook(2);
-  EXPECT_FALSE(outlook.estimateCompletion({}));
-  EXPECT_EQ(outlook.estimateCompletion({{0, 1s, 9s}})->remaining, 9s);  // nothing is known: its time-out
-  EXPECT_EQ(outlook.estimateCompletion({{0, 1s, 9s}})->sampleCount, 0U);
-  for (int index = 0; index < 100; ++index) outlook.recordCompletion(0, index < 50 ? 100ms : 4s);
-  const auto young = outlook.estimateCompletion({{0, 0s, 30s}});
-  EXPECT_GE(young->remaining, 4s);
-  EXPECT_LE(young->remaining, 4800ms);
-  EXPECT_EQ(young->sampleCount, 100U);
-  const auto old = outlook.estimateCompletion({{0, 3s, 30s}, {0, 0s, 800ms}});
-  EXPECT_GE(old->remaining, 1s);
-  EXPECT_LE(old->remaining, 1800ms);
-  EXPECT_EQ(old->sampleCount, 50U);  // of those that took longer than 3 s
-  EXPECT_EQ(outlook.estimateCompletion({{0, 0s, 800ms}})->remaining, 800ms);
-  EXPECT_EQ(outlook.estimateCompletion({{0, 10s, 20s}})->sampleCount, 0U);  // it has outlasted all
+  CompletionEstimator estimator(2);
+  EXPECT_FALSE(estimator.estimateCompletion({}));
+  EXPECT_EQ(estimator.estimateCompletion({{0, 1s, 9s}})->remaining, 9s);  // No samples: the request timeout.
+  EXPECT_EQ(estimator.estimateCompletion({{0, 1s, 9s}})->sampleCount, 0U);
+  for (int index = 0; index < 100; ++index) estimator.recordCompletion(0, index < 50 ? 100ms : 4s);
+  const auto newRequest = estimator.estimateCompletion({{0, 0s, 30s}});
+  EXPECT_GE(newRequest->remaining, 4s);
+  EXPECT_LE(newRequest->remaining, 4800ms);
+  EXPECT_EQ(newRequest->sampleCount, 100U);
+  const auto oldRequest = estimator.estimateCompletion({{0, 3s, 30s}, {0, 0s, 800ms}});
+  EXPECT_GE(oldRequest->remaining, 1s);
+  EXPECT_LE(oldRequest->remaining, 1800ms);
+  EXPECT_EQ(oldRequest->sampleCount, 50U);  // Samples longer than 3 s.
+  EXPECT_EQ(estimator.estimateCompletion({{0, 0s, 800ms}})->remaining, 800ms);
+  EXPECT_EQ(estimator.estimateCompletion({{0, 10s, 20s}})->sampleCount, 0U);  // Older than all samples.
 }
 
-// ---- one after the other -------------------------------------------------------------------------------
+// ---- RollingDrain --------------------------------------------------------------------------------------
 
 struct RollingFixture {
   RollingFixture(std::size_t controllerCount, bool restartsControllers = false)
@@ -342,42 +350,42 @@
 };
 
 TEST(RollingDrain, DrainsNextControllerOnlyWhenPreviousServesAgain) {
-  RollingFixture all(2);
-  EXPECT_EQ(all.step(), RollingDrain::Action::startDrain);
-  all.setObserved(0, "closing", 1, 100);
-  EXPECT_EQ(all.step(), RollingDrain::Action::wait);
-  all.setObserved(0, "drained", 1, 100);
-  EXPECT_EQ(all.step(), RollingDrain::Action::cancelDrain);
-  EXPECT_EQ(all.step(), RollingDrain::Action::wait);  // once only
-  all.setObserved(0, "coming-back", 1, 100);
-  EXPECT_EQ(all.step(), RollingDrain::Action::wait);
-  all.setObserved(0, "serving", 1, 100);
-  EXPECT_EQ(all.step(), RollingDrain::Action::startDrain);
-  EXPECT_EQ(all.actionTarget, 1U);
-  all.setObserved(1, "drained", 1, 101);
-  EXPECT_EQ(all.step(), RollingDrain::Action::cancelDrain);
-  all.setObserved(1, "serving", 1, 101);
-  EXPECT_EQ(all.step(), RollingDrain::Action::finished);
-  EXPECT_EQ(all.rollingDrain.completedCount(), 2U);
+  RollingFixture fixture(2);
+  EXPECT_EQ(fixture.step(), RollingDrain::Action::startDrain);
+  fixture.setObserved(0, "closing", 1, 100);
+  EXPECT_EQ(fixture.step(), RollingDrain::Action::wait);
+  fixture.setObserved(0, "drained", 1, 100);
+  EXPECT_EQ(fixture.step(), RollingDrain::Action::cancelDrain);
+  EXPECT_EQ(fixture.step(), RollingDrain::Action::wait);  // Cancelled only once.
+  fixture.setObserved(0, "coming-back", 1, 100);
+  EXPECT_EQ(fixture.step(), RollingDrain::Action::wait);
+  fixture.setObserved(0, "serving", 1, 100);
+  EXPECT_EQ(fixture.step(), RollingDrain::Action::startDrain);
+  EXPECT_EQ(fixture.actionTarget, 1U);
+  fixture.setObserved(1, "drained", 1, 101);
+  EXPECT_EQ(fixture.step(), RollingDrain::Action::cancelDrain);
+  fixture.setObserved(1, "serving", 1, 101);
+  EXPECT_EQ(fixture.step(), RollingDrain::Action::finished);
+  EXPECT_EQ(fixture.rollingDrain.completedCount(), 2U);
 }
 
 TEST(RollingDrain, BringsControllerBackAndStopsWhenDeadlineIsMissed) {
-  RollingFixture all(3);
-  all.step();
-  all.setObserved(0, "drained", 1, 100, true);
-  EXPECT_EQ(all.step(), RollingDrain::Action::cancelDrain);
-  EXPECT_EQ(all.step(), RollingDrain::Action::wait);
-  all.setObserved(0, "serving", 1, 100, true);
-  EXPECT_EQ(all.step(), RollingDrain::Action::failed);
-  EXPECT_EQ(all.rollingDrain.failureReason(), "its deadline found jobs open");
-  EXPECT_EQ(all.step(), RollingDrain::Action::failed);
+  RollingFixture fixture(3);
+  fixture.step();
+  fixture.setObserved(0, "drained", 1, 100, true);
+  EXPECT_EQ(fixture.step(), RollingDrain::Action::cancelDrain);
+  EXPECT_EQ(fixture.step(), RollingDrain::Action::wait);
+  fixture.setObserved(0, "serving", 1, 100, true);
+  EXPECT_EQ(fixture.step(), RollingDrain::Action::failed);
+  EXPECT_EQ(fixture.rollingDrain.failureReason(), "requests were still open at the drain deadline");
+  EXPECT_EQ(fixture.step(), RollingDrain::Action::failed);
 }
 
 TEST(RollingDrain, StopsWhenControllerIsDownLostOrCancelled) {
   RollingFixture down(2);
   down.observations[1] = {};
   EXPECT_EQ(down.step(), RollingDrain::Action::failed);
-  EXPECT_EQ(down.rollingDrain.failureReason(), "it does not answer");
+  EXPECT_EQ(down.rollingDrain.failureReason(), "controller does not respond");
   RollingFixture lost(2);
   lost.step();
   lost.observations[0] = {};
@@ -385,31 +393,32 @@
   EXPECT_EQ(lost.step(1s), RollingDrain::Action::cancelDrain);
   EXPECT_EQ(lost.step(31s), RollingDrain::Action::failed);
   EXPECT_EQ(lost.rollingDrain.failureReason(),
-            "it stopped answering while it drained; and it could not be brought back");
-  RollingFixture taken(1);
-  taken.step();
-  taken.setObserved(0, "serving", 1, 100);
-  EXPECT_EQ(taken.step(), RollingDrain::Action::cancelDrain);
-  EXPECT_EQ(taken.step(), RollingDrain::Action::failed);
-  EXPECT_EQ(taken.rollingDrain.failureReason(), "somebody cancelled its drain");
+            "controller stopped responding during its drain; controller did not return to service after the "
+            "drain was cancelled");
+  RollingFixture cancelled(1);
+  cancelled.step();
+  cancelled.setObserved(0, "serving", 1, 100);
+  EXPECT_EQ(cancelled.step(), RollingDrain::Action::cancelDrain);
+  EXPECT_EQ(cancelled.step(), RollingDrain::Action::failed);
+  EXPECT_EQ(cancelled.rollingDrain.failureReason(), "drain was cancelled by another client");
 }
 
-TEST(RollingDrain, FinishesWhenWorkRestartsControllerAndBringsItBackWhenWorkFails) {
-  RollingFixture all(1, true);
-  all.step();
-  all.setObserved(0, "drained", 1, 100);
-  EXPECT_EQ(all.step(), RollingDrain::Action::runMaintenance);
-  all.rollingDrain.onMaintenanceFinished(true);
-  all.observations[0] = {};
-  EXPECT_EQ(all.step(), RollingDrain::Action::wait);
-  all.setObserved(0, "serving", 0, 777);
-  EXPECT_EQ(all.step(), RollingDrain::Action::finished);
-  RollingFixture bad(1, true);
-  bad.step();
-  bad.setObserved(0, "drained", 1, 100);
-  bad.step();
-  bad.rollingDrain.onMaintenanceFinished(false);
-  EXPECT_EQ(bad.step(), RollingDrain::Action::cancelDrain);
+TEST(RollingDrain, FinishesWhenMaintenanceRestartsControllerAndCancelsDrainWhenMaintenanceFails) {
+  RollingFixture fixture(1, true);
+  fixture.step();
+  fixture.setObserved(0, "drained", 1, 100);
+  EXPECT_EQ(fixture.step(), RollingDrain::Action::runMaintenance);
+  fixture.rollingDrain.onMaintenanceFinished(true);
+  fixture.observations[0] = {};
+  EXPECT_EQ(fixture.step(), RollingDrain::Action::wait);
+  fixture.setObserved(0, "serving", 0, 777);
+  EXPECT_EQ(fixture.step(), RollingDrain::Action::finished);
+  RollingFixture failedMaintenance(1, true);
+  failedMaintenance.step();
+  failedMaintenance.setObserved(0, "drained", 1, 100);
+  failedMaintenance.step();
+  failedMaintenance.rollingDrain.onMaintenanceFinished(false);
+  EXPECT_EQ(failedMaintenance.step(), RollingDrain::Action::cancelDrain);
 }
 
 }  // namespace
@@ -418,7 +427,7 @@
 namespace paddletrack {
 namespace {
 
-// ---- what the decision module answers when jobs are let go ---------------------------------------------
+// ---- rejection of open requests at the drain deadline --------------------------------------------------
 
 struct RejectAllHost : FakeAdmissionHost {
   explicit RejectAllHost(Idempotency idempotency) {
@@ -434,44 +443,44 @@
 };
 
 TEST(RejectAll, RejectsInFlightRequestOnlyWhenIdempotentOrProvenNotExecuted) {
-  for (const Idempotency effect :
+  for (const Idempotency idempotency :
        {Idempotency::idempotent, Idempotency::idempotentByKey, Idempotency::notIdempotent})
-    for (const bool left : {false, true}) {
-      RejectAllHost host(effect);
-      host.canRecall = !left;
-      Request& job = host.submitRequest(1);
+    for (const bool wasSent : {false, true}) {
+      RejectAllHost host(idempotency);
+      host.canRecall = !wasSent;
+      Request& request = host.submitRequest(1);
       ASSERT_EQ(host.startedAttempts.size(), 1U);
-      host.controller->rejectAll(host.now, {&job});
-      const bool harmless = !left || effect == Idempotency::idempotent;
-      EXPECT_EQ(host.rejectedRequests.size(), harmless ? 1U : 0U);
-      EXPECT_EQ(host.failedRequests.size(), harmless ? 0U : 1U);
+      host.controller->rejectAll(host.now, {&request});
+      const bool isRejected = !wasSent || idempotency == Idempotency::idempotent;
+      EXPECT_EQ(host.rejectedRequests.size(), isRejected ? 1U : 0U);
+      EXPECT_EQ(host.failedRequests.size(), isRejected ? 0U : 1U);
       host.finishAttempt(*host.startedAttempts[0],
-                         left ? AttemptOutcome::cancelled : AttemptOutcome::neverSent);
-      host.controller->rejectAll(host.now, {&job});  // it is over
+                         wasSent ? AttemptOutcome::cancelled : AttemptOutcome::neverSent);
+      host.controller->rejectAll(host.now, {&request});  // No effect: the request is finished.
       host.advanceTime(1s);
       EXPECT_EQ(host.rejectedRequests.size() + host.failedRequests.size(), 1U);
       EXPECT_EQ(host.startedAttempts.size(), 1U);
     }
 }
 
-// One that waits its turn, or in the queue, was never sent; what the first frees starts nothing that is let
-// go too.
+// Requests that wait in the ordering queue or the admission queue were never sent and are rejected. The end
+// of the first request must not start any of them.
 TEST(RejectAll, RejectsOrderedWaitersAndStartsNoneWhenFirstIsInFlight) {
   FakeAdmissionHost host;
   host.deployment.requestClasses[0].ordered = true;
   host.deployment.requestClasses[0].idempotency = Idempotency::notIdempotent;
   host.deployment.orderingHold = 300ms;
   host.startController(1);
-  std::vector<Request*> jobs;
-  for (int index = 0; index < 4; ++index) jobs.push_back(&host.submitRequest(0, 100ms, 77));
+  std::vector<Request*> requests;
+  for (int index = 0; index < 4; ++index) requests.push_back(&host.submitRequest(0, 100ms, 77));
   ASSERT_EQ(host.startedAttempts.size(), 1U);
-  host.controller->rejectAll(host.now, jobs);
+  host.controller->rejectAll(host.now, requests);
   EXPECT_EQ(host.failedRequests.size(), 1U);
   EXPECT_EQ(host.rejectedRequests.size(), 3U);
   host.finishAttempt(*host.startedAttempts[0], AttemptOutcome::cancelled);
   host.advanceTime(2s);
   EXPECT_EQ(host.startedAttempts.size(), 1U);
-  host.submitRequest(0, 100ms, 77);  // the key is free again after its rest
+  host.submitRequest(0, 100ms, 77);  // The key is free again after the ordering hold.
   EXPECT_EQ(host.startedAttempts.size(), 2U);
 }
 
