--- a/tests/discovery/endpoint_watcher_test.cpp
+++ b/tests/discovery/endpoint_watcher_test.cpp
@@ -422,7 +422,7 @@
         5s);
     EXPECT_TRUE(isFollowed) << index;
   }
-  EXPECT_EQ(fixture.countLogged("rejected, keeping") + fleet.countLogged("not taken"), 0u)
+  EXPECT_EQ(fixture.countLogged("rejected, keeping") + fixture.countLogged("not taken"), 0u)
       << fixture.readLog(0);
   std::printf("peak descriptors: %zu, limit %zu\n", peakDescriptors, kSockets);
   // The discovery service stops, which frees its descriptor for other uses, and restarts while the same
